--- a/papayapick/placement/forgiveness.py
+++ b/papayapick/placement/exclusions.py
@@ -5,7 +5,7 @@
 without end beside a worker that is free.
 """
 
-__all__ = ["forgive_stuck"]
+__all__ = ["lift_exclusions"]
 
 # Longer than most waits for the room of a task that ends.
 _PATIENCE_SECONDS = 1.5
@@ -13,7 +13,7 @@
 _LAST_PATIENCE_SECONDS = 5.0
 
 
-def forgive_stuck(step, now):
+def lift_exclusions(step, now):
     """Let tasks of a step that found no room go back where they failed, if it is time.
 
     Parameters
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -6,7 +6,7 @@
 from papayapick.ledger import Amounts
 from papayapick.placement.backlog import BacklogGauge
 from papayapick.placement.copies import stragglers
-from papayapick.placement.forgiveness import forgive_stuck
+from papayapick.placement.exclusions import lift_exclusions
 from papayapick.placement.holds import Holds
 from papayapick.placement.lookahead import Lookahead
 from papayapick.placement.preemption import (
@@ -164,7 +164,7 @@
         if not step.waiting:
             return
         self._note_wait(step, WaitReason.ROOM, turn.now)
-        forgive_stuck(step, turn.now)
+        lift_exclusions(step, turn.now)
         free_in = turn.holds.take(step, allowed)
         if free_in is not None:
             self._owner.advising.renew(step, free_in, turn.now)
