--- a/papayapick/placement/lookahead.py
+++ b/papayapick/placement/advice_budget.py
@@ -9,7 +9,7 @@
 asked about first, and no more of them than can be placed.
 """
 
-__all__ = ["Lookahead"]
+__all__ = ["AdviceBudget"]
 
 # What comes free while an answer is on its way, as a share of the pool's processors: of
 # more, answers age unused.
@@ -19,7 +19,7 @@
 _STEP_SHARE = 0.1
 
 
-class Lookahead:
+class AdviceBudget:
     """Hold the room for which advice may still be asked in one round.
 
     Parameters
@@ -40,11 +40,11 @@
         self._most = _STEP_SHARE * capacity
 
     @property
-    def is_used_up(self):
+    def is_exhausted(self):
         """Return whether no further step is asked about."""
         return self._rest <= 0
 
-    def takes(self, step):
+    def admits(self, step):
         """Return whether a step may be asked about, and count it.
 
         Parameters
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -4,11 +4,11 @@
 
 from papayapick.jobs.state import JobStatus
 from papayapick.ledger import Amounts
+from papayapick.placement.advice_budget import AdviceBudget
 from papayapick.placement.backlog import BacklogGauge
 from papayapick.placement.copies import stragglers
 from papayapick.placement.exclusions import lift_exclusions
 from papayapick.placement.holds import Holds
-from papayapick.placement.lookahead import Lookahead
 from papayapick.placement.preemption import (
     StoppableRuns,
     choose_victims,
@@ -53,7 +53,7 @@
 
     def __init__(self, owner, steps, now):
         self.now = now
-        self.lookahead = Lookahead(owner.rooms)
+        self.lookahead = AdviceBudget(owner.rooms)
         self.holds = Holds(owner.rooms, owner.book.step_of, now)
         # As the round begins; there is less as it goes on.
         self._most_free = owner.rooms.most_free()
@@ -131,7 +131,7 @@
                     self._wait_for_advice(step, turn)
                     continue
             self._place_step(step, allowed, turn)
-        owner.advising.is_short = turn.lookahead.is_used_up
+        owner.advising.is_short = turn.lookahead.is_exhausted
         if self._unsent and owner.recording.may_send(owner.host.peers.all()):
             self.send_starts(self.take_unsent())
 
@@ -150,7 +150,7 @@
         advising = self._owner.advising
         if not is_held and not advising.is_useful(step, turn.may_fit(step)):
             return WaitReason.NO_FIT
-        if not turn.lookahead.takes(step):
+        if not turn.lookahead.admits(step):
             return WaitReason.TURN
         advising.ask(step, turn.now)
         return WaitReason.ADVICE
