--- a/papayapick/placement/queue.py
+++ b/papayapick/placement/queue.py
@@ -6,9 +6,9 @@
 
 from papayapick.ledger import LedgerError
 from papayapick.placement.jobs import DeadlineOrder
-from papayapick.placement.lanes import Lanes
 from papayapick.placement.pauses import choose_pauses
 from papayapick.placement.starts import Backfill
+from papayapick.placement.team_queues import TeamQueues
 from papayapick.quotas import QuotaBook
 
 __all__ = ["JobQueue"]
@@ -47,7 +47,7 @@
         self._ledger = ledger
         self._policy = policy or Backfill()
         self._quotas = quotas or QuotaBook()
-        self._waiting = Lanes(order or DeadlineOrder(), self._quotas)
+        self._waiting = TeamQueues(order or DeadlineOrder(), self._quotas)
         self._deadlines = []
         self._running = {}
         self._added = []
--- a/papayapick/placement/lanes.py
+++ b/papayapick/placement/team_queues.py
@@ -5,10 +5,10 @@
 
 from sortedcontainers import SortedList
 
-__all__ = ["Lanes"]
+__all__ = ["TeamQueues"]
 
 
-class Lanes:
+class TeamQueues:
     """Hold waiting jobs, and walk through them in the order in which they start.
 
     First deferred work whose latest start is near, then each team's jobs in the
