--- a/papayapick/placement/__init__.py
+++ b/papayapick/placement/__init__.py
@@ -2,6 +2,13 @@
 
 from papayapick.placement.failures import FailureBook
 from papayapick.placement.health import HealthRules, InstanceHealth
+from papayapick.placement.host_policies import (
+    FirstFit,
+    HostPolicy,
+    LeastLoadedHost,
+    RandomFit,
+    Tightest,
+)
 from papayapick.placement.instances import (
     HealthAware,
     InstancePolicy,
@@ -25,13 +32,6 @@
     FirstThatFits,
     StartPolicy,
 )
-from papayapick.placement.tasks import (
-    FirstFit,
-    HostPolicy,
-    LeastLoadedHost,
-    RandomFit,
-    Tightest,
-)
 
 __all__ = [
     "HealthAware",
--- a/papayapick/placement/starts.py
+++ b/papayapick/placement/starts.py
@@ -5,8 +5,8 @@
 
 from papayapick.ledger import Amounts
 from papayapick.placement.gangs import promise, reserve_all
+from papayapick.placement.host_policies import Tightest
 from papayapick.placement.jobs import RunningJob
-from papayapick.placement.tasks import Tightest
 
 __all__ = ["Backfill", "FirstComeFirstServed", "FirstThatFits", "StartPolicy"]
 
