--- a/benchmarks/estimates.py
+++ b/benchmarks/estimates.py
@@ -14,7 +14,7 @@
 from benchmarks.tables import print_rows
 from papayapick.estimates import ObservedQuantile, TrustDeclared
 from papayapick.ledger import Amounts, HostLedger
-from papayapick.placement import Tightest
+from papayapick.placement import BestFit
 
 SEED = 5
 WORKERS, CAPACITY = 100, Amounts(16000, 65536)
@@ -66,7 +66,7 @@
 
     def run(self):
         """Start so many tasks; return the mean share of processors really used."""
-        tasks, hosts, number = Tasks(), Tightest(), 0
+        tasks, hosts, number = Tasks(), BestFit(), 0
         waiting = tasks.next()
         while number < STARTS:
             kind, declared, used, seconds = waiting
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -14,7 +14,7 @@
 from benchmarks.tables import percentile, print_rows
 from papayapick.ledger import Amounts, HostLedger
 from papayapick.ledger.rooms import RoomIndex
-from papayapick.placement import FirstFit, LeastLoadedHost, RandomFit, Tightest
+from papayapick.placement import BestFit, FirstFit, LeastLoadedHost, RandomFit
 
 SEED = 20260
 # Workers, of these with 8 accelerators each, and running tasks.
@@ -27,7 +27,7 @@
 
 def policies():
     return {
-        "tightest": Tightest(),
+        "tightest": BestFit(),
         "random": RandomFit(random.Random(SEED)),
         "first fit": FirstFit(),
         "least loaded": LeastLoadedHost(),
@@ -84,7 +84,7 @@
     """Time decisions in a filled cell; one task ends before each."""
     workers, accelerated, tasks = size
     ledger = cell(workers, accelerated)
-    running = fill(ledger, Tightest(), demands(tasks * 2), tasks)
+    running = fill(ledger, BestFit(), demands(tasks * 2), tasks)
     generator = random.Random(SEED)
     wanted = demands(DECISIONS[name], SEED + 1)
     spent, refused = [], 0
@@ -215,9 +215,9 @@
         rows = [{"workers": s[0], "build_seconds": build(s[0])} for s in SIZES]
         print_rows(rows)
     few = [(size, *found) for size in SIZES[:2] for found in policies().items()]
-    few.append((SIZES[2], "tightest", Tightest()))
+    few.append((SIZES[2], "tightest", BestFit()))
     print_rows([packing(*found, 50) for found in few])
-    print_rows([kept(SIZES[1], "tightest", Tightest(), k) for k in (0, 25, 50, 100)])
+    print_rows([kept(SIZES[1], "tightest", BestFit(), k) for k in (0, 25, 50, 100)])
 
 
 if __name__ == "__main__":
--- a/papayapick/placement/__init__.py
+++ b/papayapick/placement/__init__.py
@@ -3,11 +3,11 @@
 from papayapick.placement.failures import FailureBook
 from papayapick.placement.health import HealthRules, InstanceHealth
 from papayapick.placement.host_policies import (
+    BestFit,
     FirstFit,
     HostPolicy,
     LeastLoadedHost,
     RandomFit,
-    Tightest,
 )
 from papayapick.placement.instances import (
     HealthAware,
@@ -61,6 +61,6 @@
     "RoundRobin",
     "RunningJob",
     "StartPolicy",
-    "Tightest",
+    "BestFit",
     "WaitingJob",
 ]
--- a/papayapick/placement/host_policies.py
+++ b/papayapick/placement/host_policies.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-__all__ = ["FirstFit", "HostPolicy", "LeastLoadedHost", "RandomFit", "Tightest"]
+__all__ = ["FirstFit", "HostPolicy", "LeastLoadedHost", "RandomFit", "BestFit"]
 
 
 class HostPolicy(Protocol):
@@ -12,7 +12,7 @@
         """Return the name of a host, or None where none has room."""
 
 
-class Tightest:
+class BestFit:
     """Ask the ledger's index for the host with least left over."""
 
     __slots__ = ()
--- a/papayapick/placement/starts.py
+++ b/papayapick/placement/starts.py
@@ -5,7 +5,7 @@
 
 from papayapick.ledger import Amounts
 from papayapick.placement.gangs import promise, reserve_all
-from papayapick.placement.host_policies import Tightest
+from papayapick.placement.host_policies import BestFit
 from papayapick.placement.jobs import RunningJob
 
 __all__ = ["Backfill", "FirstComeFirstServed", "FirstThatFits", "StartPolicy"]
@@ -43,7 +43,7 @@
     __slots__ = ("_hosts",)
 
     def __init__(self, hosts=None):
-        self._hosts = hosts or Tightest()
+        self._hosts = hosts or BestFit()
 
     def choose(self, ledger, waiting, running, now):
         """Start from the front until one does not fit."""
@@ -66,7 +66,7 @@
     __slots__ = ("_hosts", "_looks")
 
     def __init__(self, hosts=None, looks=_LOOKS):
-        self._hosts = hosts or Tightest()
+        self._hosts = hosts or BestFit()
         self._looks = looks
 
     def choose(self, ledger, waiting, running, now):
@@ -100,7 +100,7 @@
     __slots__ = ("_held", "_hosts", "_looks", "_refused", "_waiting_rank", "promised")
 
     def __init__(self, hosts=None, looks=_LOOKS):
-        self._hosts = hosts or Tightest()
+        self._hosts = hosts or BestFit()
         self._looks = looks
         self._held = {}
         self._refused = set()
--- a/tests/placement/test_gangs.py
+++ b/tests/placement/test_gangs.py
@@ -7,11 +7,11 @@
 from papayapick.ledger import Amounts, HostLedger
 from papayapick.placement import (
     Backfill,
+    BestFit,
     DeadlineOrder,
     FirstComeFirstServed,
     FirstThatFits,
     JobQueue,
-    Tightest,
     WaitingJob,
 )
 from papayapick.placement.gangs import promise, reserve_all
@@ -47,10 +47,10 @@
     holds; no third job can start either.
     """
     ledger = ledger_of(4)
-    assert reserve_all(ledger, Tightest(), job("a", members=3, cores=3)) is not None
-    assert reserve_all(ledger, Tightest(), job("b", members=2, cores=3)) is None
+    assert reserve_all(ledger, BestFit(), job("a", members=3, cores=3)) is not None
+    assert reserve_all(ledger, BestFit(), job("b", members=2, cores=3)) is None
     assert free_cores(ledger) == 16 - 9
-    assert reserve_all(ledger, Tightest(), job("c", cores=4)) is not None
+    assert reserve_all(ledger, BestFit(), job("c", cores=4)) is not None
 
 
 def test_small_jobs_that_never_stop_coming_do_not_starve_a_large_one():
