--- a/papayapick/jobs/book.py
+++ b/papayapick/jobs/book.py
@@ -205,7 +205,7 @@
             self._ends.settle_gang(step, now)
         return run
 
-    def note_begun(self, run):
+    def note_started(self, run):
         """Note that a worker runs a task."""
         if run.phase in (RunPhase.ORDERED, RunPhase.UNSURE):
             run.phase = RunPhase.RUNNING
--- a/papayapick/placement/backlog.py
+++ b/papayapick/placement/backlog.py
@@ -10,7 +10,7 @@
 import collections
 import math
 
-__all__ = ["BacklogGauge", "QueueBacklog"]
+__all__ = ["BacklogMonitor", "QueueBacklog"]
 
 # Jobs that began within this time give the rate: long enough for some jobs of a slow
 # queue, short enough to follow a pool that shrinks.
@@ -53,7 +53,7 @@
         self.retry_after = retry_after
 
 
-class BacklogGauge:
+class BacklogMonitor:
     """Observe how fast the jobs of each queue begin."""
 
     __slots__ = ("_begun", "_since")
@@ -63,7 +63,7 @@
         # Since when a queue has had a backlog, in monotonic seconds.
         self._since = {}
 
-    def note_begun(self, queue, now):
+    def note_started(self, queue, now):
         """Note that a job of a queue has its first task placed."""
         times = self._begun.setdefault(queue, collections.deque(maxlen=_TIMES_KEPT))
         times.append(now)
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -5,7 +5,7 @@
 from papayapick.jobs.state import JobStatus
 from papayapick.ledger import Amounts
 from papayapick.placement.advice_budget import AdviceBudget
-from papayapick.placement.backlog import BacklogGauge
+from papayapick.placement.backlog import BacklogMonitor
 from papayapick.placement.copies import stragglers
 from papayapick.placement.exclusions import lift_exclusions
 from papayapick.placement.holds import Holds
@@ -108,7 +108,7 @@
 
     Attributes
     ----------
-    backlog : BacklogGauge
+    backlog : BacklogMonitor
     """
 
     __slots__ = ("_owner", "_unsent", "backlog")
@@ -116,7 +116,7 @@
     def __init__(self, owner):
         self._owner = owner
         self._unsent = []
-        self.backlog = BacklogGauge()
+        self.backlog = BacklogMonitor()
 
     def place(self, now):
         """Place what waits, the most urgent first; starts wait for their record."""
@@ -232,7 +232,7 @@
         if step.job.status == JobStatus.WAITING and not step.job.is_begun:
             step.job.is_begun = True
             FIRST_START_SECONDS.observe(now - step.job.arrived)
-            self.backlog.note_begun(step.job.document.queue, now)
+            self.backlog.note_started(step.job.document.queue, now)
         run = self._owner.book.begin(step, index, worker, now, attempt)
         room = self._owner.rooms.get(worker)
         room.reserve(run)
--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -180,7 +180,7 @@
             if run.phase in (RunPhase.ORDERED, RunPhase.UNSURE):
                 if run.phase == RunPhase.UNSURE:
                     START_FOUND.write(**run_fields(run))
-                self._owner.book.note_begun(run)
+                self._owner.book.note_started(run)
             run.was_seen, run.was_seen_again = True, run.was_seen
             if run.percent != found.percent:
                 run.moved_at = now
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -137,7 +137,7 @@
             now = self._owner.now()
             if outcome == StartOutcome.STARTED:
                 run.answered_at = now
-                self._owner.book.note_begun(run)
+                self._owner.book.note_started(run)
             elif outcome == StartOutcome.UNKNOWN:
                 if run.phase == RunPhase.ORDERED:
                     run.phase = RunPhase.UNSURE
--- a/tests/entry/test_removed_queue.py
+++ b/tests/entry/test_removed_queue.py
@@ -41,7 +41,7 @@
     for attempt in (1, 2):
         (step,) = book.waiting_steps()
         run = book.begin(step, 0, "w1", 0.0)
-        book.note_begun(run)
+        book.note_started(run)
         key = TaskKey(ID, 0, 0, 0)
         book.end(key, attempt, EndOutcome.FAILED, "", "w1", 1.0)
         assert book.get(ID).status not in JobStatus.FINAL
--- a/tests/placement/test_backlog.py
+++ b/tests/placement/test_backlog.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from papayapick.placement.backlog import BacklogGauge
+from papayapick.placement.backlog import BacklogMonitor
 
 BACKLOG = 10_000
 
 
 def gauge(jobs_a_second, seconds=20):
     """Return a gauge of a queue that had a backlog for so long."""
-    found = BacklogGauge()
+    found = BacklogMonitor()
     found.backlog("counts", BACKLOG, 0.0)
     for number in range(int(jobs_a_second * seconds)):
-        found.note_begun("counts", number / jobs_a_second)
+        found.note_started("counts", number / jobs_a_second)
     return found
 
 
@@ -44,12 +44,12 @@
     The rate of the quiet time was taken for what the pool can do: callers were sent
     away for half a minute, and the pool had room for all of them.
     """
-    found = BacklogGauge()
+    found = BacklogMonitor()
     for number in range(70):
-        found.note_begun("counts", number / 7)
+        found.note_started("counts", number / 7)
     assert found.backlog("counts", 300, 10.0).retry_after == 0
     for number in range(300):
-        found.note_begun("counts", 10.0 + number / 60)
+        found.note_started("counts", 10.0 + number / 60)
     assert found.backlog("counts", 600, 15.0).retry_after == 0
 
 
@@ -81,7 +81,7 @@
 
 
 def test_rate_of_an_urgent_queue_is_believed_sooner():
-    found = BacklogGauge()
+    found = BacklogMonitor()
     found.backlog("counts", 300, 0.0, 6.0)
     assert found.backlog("counts", 300, 1.9, 6.0).retry_after == 0
     assert found.backlog("counts", 300, 2.1, 6.0).retry_after == 30
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -232,7 +232,7 @@
             run = start.run
             run.note_sent(self.now)
             self.workers[run.worker].runs[run.name] = 0.0
-            self.owner.book.note_begun(run)
+            self.owner.book.note_started(run)
         tasks, orders._stop_executor.tasks = orders._stop_executor.tasks, []
         for step, args in tasks:
             if step == orders._stop:
--- a/tests/pool/test_last_resort.py
+++ b/tests/pool/test_last_resort.py
@@ -61,7 +61,7 @@
     (other,) = (one for one in owner.book.waiting_steps() if one is not step)
     for index in range(4):
         run = owner.decisions._begin(other, index, "w1", None)
-        owner.book.note_begun(run)
+        owner.book.note_started(run)
     assert place(owner) == []
     stoppable = StoppableRuns(owner.rooms, lambda run: 1)
     assert choose_victims(step, owner.rooms, None, stoppable) == []
