--- a/papayapick/placement/progress.py
+++ b/papayapick/placement/progress.py
@@ -16,7 +16,7 @@
     "SlownessWatch",
     "compare_runs",
     "ended_in_time",
-    "is_doubtful",
+    "may_be_stalled",
     "projected_rest",
     "rest_seconds",
     "stalled_runs",
@@ -134,7 +134,7 @@
     return run.percent_at - run.moved_at >= limit
 
 
-def is_doubtful(runs):
+def may_be_stalled(runs):
     """Return whether a worker should be looked at again soon.
 
     Waiting calls return with an end or after 0.6 s; a second look half as long after
--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -2,7 +2,7 @@
 
 from papayapick.jobs.runs import RunPhase
 from papayapick.placement.pace import Pacer
-from papayapick.placement.progress import is_doubtful
+from papayapick.placement.progress import may_be_stalled
 from papayapick.pool.events import (
     RUN_ENDED,
     RUN_FOUND,
@@ -45,7 +45,7 @@
         """Return whether a run of a worker seems to stand still."""
         with self._owner.lock:
             room = self._owner.rooms.get(link.worker)
-            return room is not None and is_doubtful(room.runs.values())
+            return room is not None and may_be_stalled(room.runs.values())
 
     def note_report(self, link, report, asked_at):
         """Take in what a worker lists.
