--- a/papayapick/placement/holds.py
+++ b/papayapick/placement/holds.py
@@ -9,7 +9,7 @@
 """
 
 from papayapick.ledger import Amounts
-from papayapick.placement.progress import rest_seconds
+from papayapick.placement.progress import remaining_seconds
 
 __all__ = ["Hold", "Holds"]
 
@@ -177,7 +177,7 @@
             return 0.0, free
         rests = []
         for run in room.runs.values():
-            rest = rest_seconds(self._step_of(run.key), run, self._now)
+            rest = remaining_seconds(self._step_of(run.key), run, self._now)
             if rest is not None:
                 rests.append((rest, id(run), run.demand))
         for rest, _, demand in sorted(rests):
--- a/papayapick/placement/progress.py
+++ b/papayapick/placement/progress.py
@@ -17,8 +17,8 @@
     "compare_runs",
     "ended_in_time",
     "may_be_stalled",
-    "projected_rest",
-    "rest_seconds",
+    "projected_remaining_seconds",
+    "remaining_seconds",
     "stalled_runs",
 ]
 
@@ -168,7 +168,7 @@
     return elapsed * _FULL / run.percent
 
 
-def projected_rest(step, run, now):
+def projected_remaining_seconds(step, run, now):
     """Return how long a run may still take, going by its progress.
 
     A run that was taken over half done did not do that half since this owner knows of
@@ -196,7 +196,7 @@
     return run.worked_seconds(run.percent_at) / done - run.worked_seconds(now)
 
 
-def rest_seconds(step, run, now):
+def remaining_seconds(step, run, now):
     """Return the seconds until the room of a run is free, or None if that is not known.
 
     Parameters
@@ -210,7 +210,7 @@
         return _STOP_SECONDS
     if step.step.is_lasting or run.demand is None:
         return None
-    return max(0.0, projected_rest(step, run, now))
+    return max(0.0, projected_remaining_seconds(step, run, now))
 
 
 class SlownessWatch:
--- a/papayapick/pool/advising.py
+++ b/papayapick/pool/advising.py
@@ -1,6 +1,6 @@
 """Ask for advice on steps, ahead of need, through the hosts that have time."""
 
-from papayapick.placement.progress import projected_rest
+from papayapick.placement.progress import projected_remaining_seconds
 from papayapick.pool.advice import AdviceBook
 from papayapick.pool.events import ADVICE_LOST, NO_ADVICE
 from papayapick.pool.exceptions import AdviceNotNeeded
@@ -166,7 +166,7 @@
                 # Kept back after a takeover: it may run at a worker that has not
                 # answered yet, and is no sign that its step is about to end.
                 return float("inf")
-            rests = [projected_rest(step, run, now) for run in task.runs]
+            rests = [projected_remaining_seconds(step, run, now) for run in task.runs]
             rest = max(rest, *rests)
         return rest
 
--- a/tests/pool/test_run_times.py
+++ b/tests/pool/test_run_times.py
@@ -4,7 +4,11 @@
 
 from papayapick.jobs import TaskKey
 from papayapick.placement.copies import stragglers
-from papayapick.placement.progress import compare_runs, projected_rest, stalled_runs
+from papayapick.placement.progress import (
+    compare_runs,
+    projected_remaining_seconds,
+    stalled_runs,
+)
 from papayapick.pool.reports import StartOutcome
 from tests.pool.owners import ID, job, owner_with, report
 
@@ -117,10 +121,10 @@
     pool = Pool(estimate_seconds=3.0)
     pool.host.clock.advance(RECORD_SECONDS)
     run = pool.starts[0].run
-    assert projected_rest(pool.step, run, pool.now) == pytest.approx(3.0)
+    assert projected_remaining_seconds(pool.step, run, pool.now) == pytest.approx(3.0)
     pool.send(*pool.starts)
     pool.host.clock.advance(0.5)
-    assert projected_rest(pool.step, run, pool.now) == pytest.approx(2.5)
+    assert projected_remaining_seconds(pool.step, run, pool.now) == pytest.approx(2.5)
 
 
 def test_run_is_not_stalled_before_it_was_listed_twice():
