--- a/papayapick/placement/progress.py
+++ b/papayapick/placement/progress.py
@@ -12,10 +12,10 @@
 __all__ = [
     "REPLACED_LIMIT",
     "SUSPECT_SECONDS",
-    "FailureWatch",
-    "SlownessWatch",
+    "FailingWorkerDetector",
+    "SlowWorkerDetector",
     "compare_runs",
-    "ended_in_time",
+    "ended_within_usual_time",
     "may_be_stalled",
     "projected_remaining_seconds",
     "remaining_seconds",
@@ -84,7 +84,7 @@
     slow, sound : list of Run
         Those that are far slower, with enough left to be worth a move, and those at
         the usual speed. One that is slow may be a task that is longer than the
-        others; see ``SlownessWatch``.
+        others; see ``SlowWorkerDetector``.
     """
     slow, sound = [], []
     runs = _judged_runs(step)
@@ -101,7 +101,7 @@
     return slow, sound
 
 
-def ended_in_time(step, run, now):
+def ended_within_usual_time(step, run, now):
     """Return whether a run that has just ended took no longer than is usual.
 
     Parameters
@@ -213,7 +213,7 @@
     return max(0.0, projected_remaining_seconds(step, run, now))
 
 
-class SlownessWatch:
+class SlowWorkerDetector:
     """Tell a slow worker from a long task: on a slow worker all that runs lags.
 
     Moved for itself alone, a task that is three times as long as its like loses what
@@ -227,7 +227,7 @@
         self._slow = {}
         self._sound = {}
 
-    def note_sound(self, run, now):
+    def note_normal(self, run, now):
         """Take in a run at the usual speed."""
         self._sound[run.worker] = now
 
@@ -252,7 +252,7 @@
         self._sound.pop(worker, None)
 
 
-class FailureWatch:
+class FailingWorkerDetector:
     """Notice workers that fail what they start, whichever job it is of."""
 
     __slots__ = ("_failed_jobs",)
--- a/papayapick/pool/laggards.py
+++ b/papayapick/pool/laggards.py
@@ -3,10 +3,10 @@
 from papayapick.placement.progress import (
     REPLACED_LIMIT,
     SUSPECT_SECONDS,
-    FailureWatch,
-    SlownessWatch,
+    FailingWorkerDetector,
+    SlowWorkerDetector,
     compare_runs,
-    ended_in_time,
+    ended_within_usual_time,
     stalled_runs,
 )
 from papayapick.pool.events import RUN_REPLACED, WORKER_SUSPECTED
@@ -28,8 +28,8 @@
 
     def __init__(self, owner):
         self._owner = owner
-        self._failures = FailureWatch()
-        self._slowness = SlownessWatch()
+        self._failures = FailingWorkerDetector()
+        self._slowness = SlowWorkerDetector()
 
     def replace(self, now):
         """Stop runs that stand still or lag far behind, to start them elsewhere.
@@ -44,7 +44,7 @@
                     self._replace(step, run, now)
                 slow, sound = compare_runs(step)
                 for run in sound:
-                    self._slowness.note_sound(run, now)
+                    self._slowness.note_normal(run, now)
                 for run in slow:
                     if self._slowness.note_slow(run, now):
                         self._replace(step, run, now)
@@ -67,8 +67,8 @@
         if self._failures.note_end(room.worker, end.key.job, is_failed):
             self._suspect(room, "failures", now, is_failing=True)
         is_known = step is not None and run is not None
-        if is_known and not is_failed and ended_in_time(step, run, now):
-            self._slowness.note_sound(run, now)
+        if is_known and not is_failed and ended_within_usual_time(step, run, now):
+            self._slowness.note_normal(run, now)
 
     def forget(self, worker):
         """Drop what is known of a worker that is gone."""
