--- a/papayapick/placement/backlog.py
+++ b/papayapick/placement/backlog.py
@@ -63,7 +63,7 @@
         # Since when a queue has had a backlog, in monotonic seconds.
         self._since = {}
 
-    def note_started(self, queue, now):
+    def note_first_start(self, queue, now):
         """Note that a job of a queue has its first task placed."""
         times = self._begun.setdefault(queue, collections.deque(maxlen=_TIMES_KEPT))
         times.append(now)
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -232,7 +232,7 @@
         if step.job.status == JobStatus.WAITING and not step.job.is_begun:
             step.job.is_begun = True
             FIRST_START_SECONDS.observe(now - step.job.arrived)
-            self.backlog.note_started(step.job.document.queue, now)
+            self.backlog.note_first_start(step.job.document.queue, now)
         run = self._owner.book.begin(step, index, worker, now, attempt)
         room = self._owner.rooms.get(worker)
         room.reserve(run)
--- a/tests/placement/test_backlog.py
+++ b/tests/placement/test_backlog.py
@@ -12,7 +12,7 @@
     found = BacklogMonitor()
     found.backlog("counts", BACKLOG, 0.0)
     for number in range(int(jobs_a_second * seconds)):
-        found.note_started("counts", number / jobs_a_second)
+        found.note_first_start("counts", number / jobs_a_second)
     return found
 
 
@@ -46,10 +46,10 @@
     """
     found = BacklogMonitor()
     for number in range(70):
-        found.note_started("counts", number / 7)
+        found.note_first_start("counts", number / 7)
     assert found.backlog("counts", 300, 10.0).retry_after == 0
     for number in range(300):
-        found.note_started("counts", 10.0 + number / 60)
+        found.note_first_start("counts", 10.0 + number / 60)
     assert found.backlog("counts", 600, 15.0).retry_after == 0
 
 
