--- a/papayapick/placement/__init__.py
+++ b/papayapick/placement/__init__.py
@@ -1,6 +1,6 @@
 """Choose where work goes."""
 
-from papayapick.placement.failures import FailureBook
+from papayapick.placement.failures import FailureTracker
 from papayapick.placement.health import HealthRules, InstanceHealth
 from papayapick.placement.host_policies import (
     BestFit,
@@ -45,7 +45,7 @@
     "ArrivalOrder",
     "Backfill",
     "DeadlineOrder",
-    "FailureBook",
+    "FailureTracker",
     "FirstComeFirstServed",
     "FirstFit",
     "FirstThatFits",
--- a/papayapick/placement/failures.py
+++ b/papayapick/placement/failures.py
@@ -2,7 +2,7 @@
 
 import threading
 
-__all__ = ["FailureBook"]
+__all__ = ["FailureTracker"]
 
 _JOBS_PER_HOST = 3
 _HOSTS_PER_JOB = 3
@@ -14,15 +14,15 @@
 class _Suspect:
     """Hold what failed on a host since something last succeeded there."""
 
-    __slots__ = ("aside_seconds", "jobs", "probe_at")
+    __slots__ = ("quarantine_seconds", "jobs", "quarantined_until")
 
     def __init__(self):
         self.jobs = set()
-        self.aside_seconds = 0.0
-        self.probe_at = None
+        self.quarantine_seconds = 0.0
+        self.quarantined_until = None
 
 
-class FailureBook:
+class FailureTracker:
     """Set workers aside that fail different jobs, and count where a job failed.
 
     A failure speaks against the worker only while its job has failed nowhere
@@ -39,7 +39,7 @@
     """
 
     __slots__ = (
-        "_aside",
+        "_quarantined",
         "_failed",
         "_ledger",
         "_lock",
@@ -52,18 +52,18 @@
         self._ledger = ledger
         self._share = share
         self._suspects = {}
-        self._aside = set()
+        self._quarantined = set()
         self._failed = {}
         self._refused = {}
         self._lock = threading.Lock()
 
     @property
-    def aside(self):
+    def quarantined(self):
         """Return the names of the workers set aside."""
         with self._lock:
-            return set(self._aside)
+            return set(self._quarantined)
 
-    def hosts_of(self, job):
+    def hosts_to_avoid(self, job):
         """Return the hosts to avoid for a job: it failed there or was refused."""
         with self._lock:
             failed = self._failed.get(job, set())
@@ -86,7 +86,7 @@
             failed = self._failed.setdefault(job, set())
             failed.add(host)
             if len(failed) > 1:
-                self._acquit(job)
+                self._clear_job(job)
             else:
                 self._suspect(host, job, now)
 
@@ -100,7 +100,7 @@
         """Clear a host: something ran there to its end."""
         with self._lock:
             self._suspects.pop(host, None)
-            self._let_in(host)
+            self._readmit(host)
 
     def forget(self, job):
         """Drop a job that has ended."""
@@ -108,35 +108,37 @@
             self._failed.pop(job, None)
             self._refused.pop(job, None)
 
-    def probe(self, now):
+    def readmit_due(self, now):
         """Let workers in again whose time is over."""
         with self._lock:
-            for host in list(self._aside):
-                if self._suspects[host].probe_at <= now:
-                    self._let_in(host)
+            for host in list(self._quarantined):
+                if self._suspects[host].quarantined_until <= now:
+                    self._readmit(host)
 
-    def _acquit(self, job):
+    def _clear_job(self, job):
         for suspect in self._suspects.values():
             suspect.jobs.discard(job)
 
     def _suspect(self, host, job, now):
         suspect = self._suspects.setdefault(host, _Suspect())
         suspect.jobs.add(job)
-        is_relapse = suspect.probe_at is not None and host not in self._aside
+        is_relapse = (
+            suspect.quarantined_until is not None and host not in self._quarantined
+        )
         if not is_relapse and len(suspect.jobs) < _JOBS_PER_HOST:
             return
         # Many failing at once is more likely the fault of what they share.
         limit = max(1, int(self._share * len(self._ledger.names)))
-        if host in self._aside or len(self._aside) >= limit:
+        if host in self._quarantined or len(self._quarantined) >= limit:
             return
-        doubled = max(_FIRST_SECONDS, 2 * suspect.aside_seconds)
-        suspect.aside_seconds = min(_LONGEST_SECONDS, doubled)
-        suspect.probe_at = now + suspect.aside_seconds
-        self._aside.add(host)
+        doubled = max(_FIRST_SECONDS, 2 * suspect.quarantine_seconds)
+        suspect.quarantine_seconds = min(_LONGEST_SECONDS, doubled)
+        suspect.quarantined_until = now + suspect.quarantine_seconds
+        self._quarantined.add(host)
         self._ledger.set_aside(host, True)
 
-    def _let_in(self, host):
-        if host in self._aside:
-            self._aside.discard(host)
+    def _readmit(self, host):
+        if host in self._quarantined:
+            self._quarantined.discard(host)
             if host in self._ledger:
                 self._ledger.set_aside(host, False)
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -64,7 +64,7 @@
             self._settle(shard, running, reports)
 
         in_parallel(self._process.executor, settle, jobs)
-        shard.failures.probe(self._process.clock.time())
+        shard.failures.readmit_due(self._process.clock.time())
         self._process.executor.submit(self.start_waiting, shard)
 
     def _settle(self, shard, running, reports):
@@ -142,7 +142,7 @@
             can_pause=item.accepted.repeatable and not is_urgent,
             team=policy.team if policy else "",
             attempt=item.attempts + 1,
-            avoid=shard.failures.hosts_of(item.request_id),
+            avoid=shard.failures.hosts_to_avoid(item.request_id),
         )
 
     def _end_overdue(self, shard, item):
--- a/papayapick/placer/shards.py
+++ b/papayapick/placer/shards.py
@@ -4,7 +4,7 @@
 from papayapick.journal import Journal, WorkBook
 from papayapick.ledger import Amounts, HostLedger, SlotLedger
 from papayapick.ownership import OwnershipUnconfirmed
-from papayapick.placement import FailureBook, HealthAware, InstanceHealth, JobQueue
+from papayapick.placement import FailureTracker, HealthAware, InstanceHealth, JobQueue
 from papayapick.placer.exceptions import ShardClosed
 from papayapick.placer.slots import SlotDesk
 from papayapick.wire.messages import ShardSummary
@@ -51,7 +51,7 @@
         self.row = row
         self.hosts = HostLedger()
         self.jobs = JobQueue(self.hosts)
-        self.failures = FailureBook(self.hosts)
+        self.failures = FailureTracker(self.hosts)
         self.estimates = ObservedQuantile(self.hosts)
         self.desk = SlotDesk(
             row.shard,
--- a/tests/placement/test_failures.py
+++ b/tests/placement/test_failures.py
@@ -3,7 +3,7 @@
 import pytest
 
 from papayapick.ledger import Amounts, HostLedger
-from papayapick.placement import FailureBook, JobQueue, WaitingJob
+from papayapick.placement import FailureTracker, JobQueue, WaitingJob
 
 CORE = Amounts(1000, 1024)
 
@@ -13,7 +13,7 @@
     for number in range(workers):
         ledger.add(f"worker-{number}", Amounts(4000, 4096))
         ledger.open(f"worker-{number}")
-    return ledger, FailureBook(ledger, share)
+    return ledger, FailureTracker(ledger, share)
 
 
 def fail(book, host, jobs, now=0.0):
@@ -29,9 +29,9 @@
     """
     ledger, book = book_of(10)
     fail(book, "worker-3", ["a", "b"])
-    assert not book.aside
+    assert not book.quarantined
     fail(book, "worker-3", ["c"])
-    assert book.aside == {"worker-3"}
+    assert book.quarantined == {"worker-3"}
     assert "worker-3" not in ledger.open_hosts()
 
 
@@ -41,7 +41,7 @@
     for job in ("a", "b", "c"):
         for number in range(3):
             book.note_failure(f"worker-{number}", job, 0.0)
-    assert not book.aside
+    assert not book.quarantined
     assert book.fails_everywhere("a")
 
 
@@ -50,7 +50,7 @@
     ledger, book = book_of(20)
     for number in range(20):
         fail(book, f"worker-{number}", [f"{number}-{job}" for job in range(5)])
-    assert len(book.aside) == 2
+    assert len(book.quarantined) == 2
     assert len(ledger.open_hosts()) == 18
 
 
@@ -62,13 +62,13 @@
     fail(book, "worker-3", ["a", "b", "c"], now)
     for relapse in range(relapses):
         now += 60 * 2**relapse
-        book.probe(now)
+        book.readmit_due(now)
         fail(book, "worker-3", [f"again-{relapse}"], now)
-    assert book.aside == {"worker-3"}
-    book.probe(now + seconds - 1)
-    assert book.aside == {"worker-3"}
-    book.probe(now + seconds)
-    assert not book.aside
+    assert book.quarantined == {"worker-3"}
+    book.readmit_due(now + seconds - 1)
+    assert book.quarantined == {"worker-3"}
+    book.readmit_due(now + seconds)
+    assert not book.quarantined
     assert "worker-3" in ledger.open_hosts()
 
 
@@ -77,7 +77,7 @@
     fail(book, "worker-3", ["a", "b"])
     book.note_success("worker-3")
     fail(book, "worker-3", ["c", "d"])
-    assert not book.aside
+    assert not book.quarantined
 
 
 def test_a_refused_job_goes_elsewhere_as_long_as_it_fits_there():
@@ -90,7 +90,7 @@
     queue = JobQueue(ledger)
     book.note_refusal("worker-0", "a", 0.0)
     assert not book.fails_everywhere("a")
-    queue.add(WaitingJob("a", CORE, 4, avoid=book.hosts_of("a")))
+    queue.add(WaitingJob("a", CORE, 4, avoid=book.hosts_to_avoid("a")))
     (start,) = queue.choose_starts(0.0)
     assert {place.host for place in start.places} == {"worker-1"}
     queue.add(WaitingJob("b", CORE, 8, avoid=frozenset(["worker-0"])))
--- a/tests/placer/test_jobs.py
+++ b/tests/placer/test_jobs.py
@@ -92,7 +92,7 @@
     cell.run_for(30)
     assert cell.ended("a") == ("failed", detail)
     assert cell.item("a").attempts == attempts
-    assert not cell.shard.failures.aside
+    assert not cell.shard.failures.quarantined
 
 
 def test_a_job_past_its_bound_is_stopped():
@@ -152,7 +152,7 @@
         cell.step()
         for task in cell.workers._workers[broken].tasks.values():
             task.work["fail"] = True
-    assert cell.shard.failures.aside == {broken}
+    assert cell.shard.failures.quarantined == {broken}
     cell.run_for(40)
     outcomes = {cell.ended(f"job-{number}") for number in range(60)}
     assert outcomes == {("done", "")}
