--- a/papayapick/placement/jobs.py
+++ b/papayapick/placement/jobs.py
@@ -145,7 +145,7 @@
 
     Attributes
     ----------
-    heard : float
+    last_report_at : float
         Monotonic time at which all its members were last reported.
     is_given_up : bool
         Whether its leases are renewed no more, so that it ends.
@@ -153,13 +153,13 @@
         Whether it is being checkpointed to make room.
     """
 
-    __slots__ = ("end", "heard", "is_given_up", "is_pausing", "job", "places")
+    __slots__ = ("end", "last_report_at", "is_given_up", "is_pausing", "job", "places")
 
     def __init__(self, job, places, end):
         self.job = job
         self.places = places
         self.end = end
-        self.heard = float("-inf")
+        self.last_report_at = float("-inf")
         self.is_given_up = False
         self.is_pausing = False
 
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -52,7 +52,7 @@
         job = self._job(shard, item)
         places = [Place(one["host"], one["task"]) for one in item.started.places]
         running = RunningJob(job, places, item.started.time + job.run_seconds)
-        running.heard = self._process.clock.monotonic()
+        running.last_report_at = self._process.clock.monotonic()
         shard.jobs.adopt(running)
 
     def renew(self, shard):
--- a/papayapick/placer/members.py
+++ b/papayapick/placer/members.py
@@ -46,7 +46,7 @@
         """
         job = running.job
         demand = job.demand.as_mapping()
-        running.heard = self._clock.monotonic()
+        running.last_report_at = self._clock.monotonic()
         for task in running.tasks:
             self._leases.note_start(task)
         for number, place in enumerate(running.places):
@@ -85,7 +85,7 @@
         in_parallel(self._executor, renew_worker, calls)
         for running in jobs:
             if all(task in reports for task in running.tasks):
-                running.heard = self._clock.monotonic()
+                running.last_report_at = self._clock.monotonic()
             for task in running.tasks:
                 self._note_use(shard, reports.get(task))
         return reports
@@ -123,7 +123,7 @@
 
     def is_silent(self, running):
         """Return whether some member was not heard of for a whole lease."""
-        bound = running.heard + self._lease_seconds * (1 + _DRIFT)
+        bound = running.last_report_at + self._lease_seconds * (1 + _DRIFT)
         return self._clock.monotonic() > bound
 
     def forget(self, running):
