--- a/papayapick/placement/gangs.py
+++ b/papayapick/placement/gangs.py
@@ -3,12 +3,12 @@
 from papayapick.ledger import Amounts
 from papayapick.placement.jobs import Place
 
-__all__ = ["Promise", "promise", "reserve_all"]
+__all__ = ["PromisedStart", "promise_start", "reserve_all"]
 
 _NOTHING = Amounts()
 
 
-class Promise:
+class PromisedStart:
     """Hold the time at which all members of a job fit, and their hosts.
 
     Parameters
@@ -63,7 +63,7 @@
     return places
 
 
-def promise(ledger, job, running, now):
+def promise_start(ledger, job, running, now):
     """Return when and where a job fits if every run lasts to its bound.
 
     Parameters
@@ -96,7 +96,7 @@
         counts[host] = count
     if room < job.members:
         return None
-    return Promise(time, _holds(job, counts, released))
+    return PromisedStart(time, _holds(job, counts, released))
 
 
 def _hide(ledger, names):
--- a/papayapick/placement/starts.py
+++ b/papayapick/placement/starts.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from papayapick.ledger import Amounts
-from papayapick.placement.gangs import promise, reserve_all
+from papayapick.placement.gangs import promise_start, reserve_all
 from papayapick.placement.host_policies import BestFit
 from papayapick.placement.jobs import RunningJob
 
@@ -163,14 +163,14 @@
         return promised is not None and now + job.run_seconds <= promised[1].time
 
     def _promise(self, ledger, job, running, now):
-        found = promise(ledger, job, running, now)
+        found = promise_start(ledger, job, running, now)
         if found is None and job.avoid:
             # Without the hosts that it failed on it would wait for ever.
             job.avoid = frozenset()
             places = self._place(ledger, job, now)
             if places is not None:
                 return places
-            found = promise(ledger, job, running, now)
+            found = promise_start(ledger, job, running, now)
         if found is not None:
             self.promised = (job.name, found)
             self._hold(ledger, found.holds)
--- a/tests/placement/test_gangs.py
+++ b/tests/placement/test_gangs.py
@@ -14,7 +14,7 @@
     JobQueue,
     WaitingJob,
 )
-from papayapick.placement.gangs import promise, reserve_all
+from papayapick.placement.gangs import promise_start, reserve_all
 
 CORE = Amounts(1000, 1024)
 
@@ -193,9 +193,11 @@
     queue.add(job("a", cores=3, seconds=10.0))
     queue.add(job("b", cores=3, seconds=20.0))
     queue.choose_starts(0.0)
-    found = promise(ledger, job("c", cores=4), queue.running, 0.0)
+    found = promise_start(ledger, job("c", cores=4), queue.running, 0.0)
     assert found.time == 10.0
-    assert promise(ledger, job("d", members=3, cores=3), queue.running, 0.0) is None
+    assert (
+        promise_start(ledger, job("d", members=3, cores=3), queue.running, 0.0) is None
+    )
 
 
 def test_room_kept_for_accelerators_is_promised_to_no_other_work():
