--- a/papayapick/placement/pace.py
+++ b/papayapick/placement/pace.py
@@ -53,7 +53,7 @@
         return changes
 
     def _changes(self, room, is_repeat_due):
-        load, is_serving = self._load(room), bool(room.serving)
+        load, is_serving = self._load(room), bool(room.serving_runs)
         changes = []
         for run in room.runs.values():
             if not run.is_filler or run.percent is None:
--- a/papayapick/placement/rooms.py
+++ b/papayapick/placement/rooms.py
@@ -88,17 +88,17 @@
         return bool(self._unmeasured)
 
     @property
-    def serving(self):
+    def serving_runs(self):
         """Return how many of its runs have a response time to keep."""
         return sum(1 for run in self.runs.values() if run.tail_limit)
 
-    def suspect(self, now, seconds, is_failing=False):
+    def mark_suspected(self, now, seconds, is_failing=False):
         """Use it last for some seconds, or not at all where it fails all it starts."""
         self._suspected_until = max(self._suspected_until, now + seconds)
         self.is_suspected = True
         self.is_failing = self.is_failing or is_failing
 
-    def end_suspicion(self, now):
+    def expire_suspicion(self, now):
         """Use it as any other again if its time is over."""
         self.is_suspected = now < self._suspected_until
         self.is_failing = self.is_failing and self.is_suspected
@@ -309,7 +309,7 @@
         if step.is_filler:
             # Fillers live on what the others leave, and disturb those that serve.
             unused = room.processors - 4000 * room.filler_processors
-            return (is_avoided, is_far, room.serving > 0, -unused)
+            return (is_avoided, is_far, room.serving_runs > 0, -unused)
         # Best fit: what is left over stays in large pieces, so that large tasks find
         # room. Where workers have accelerators these are what large tasks lack;
         # memory decides between equals.
--- a/papayapick/pool/laggards.py
+++ b/papayapick/pool/laggards.py
@@ -37,7 +37,7 @@
         Where the step allows copies, the next copy is started beside instead.
         """
         for room in self._owner.rooms:
-            room.end_suspicion(now)
+            room.expire_suspicion(now)
         for job in self._owner.book.live_jobs():
             for step in job.steps():
                 for run in stalled_runs(step):
@@ -101,7 +101,7 @@
             WORKER_SUSPECTED.write(
                 worker=room.worker, reason=reason, seconds=SUSPECT_SECONDS
             )
-        room.suspect(now, SUSPECT_SECONDS, is_failing)
+        room.mark_suspected(now, SUSPECT_SECONDS, is_failing)
 
     def _has_alternative(self, step, run):
         """Return whether another worker has room for the task of a run now."""
--- a/tests/placement/test_rooms.py
+++ b/tests/placement/test_rooms.py
@@ -261,7 +261,7 @@
     for number in (2, 3):
         rooms.get(f"w{number}").processors = 2000 + number
     for number in range(failing):
-        rooms.get(f"w{number}").suspect(0.0, 3.0, is_failing=True)
+        rooms.get(f"w{number}").mark_suspected(0.0, 3.0, is_failing=True)
     for number in (2, 3):
         rooms.get(f"w{number}").is_open = failing == 1
     book, state = _waiting(Step(1, Amounts(1500, 100)))
