--- a/papayapick/placement/rooms.py
+++ b/papayapick/placement/rooms.py
@@ -183,7 +183,7 @@
             and (not step.label or step.label in room.registration.labels)
         ]
 
-    def most_free(self):
+    def max_free(self):
         """Return the most of each amount that any open worker has free.
 
         What does not fit in it fits on no worker, which many steps need not find out
@@ -233,7 +233,7 @@
             return self._last_resort(step_state, task, allowed, rack)
         return best
 
-    def has_free(self, step_state, excluded):
+    def has_room_for(self, step_state, excluded):
         """Return whether a worker has room for a task of a step now.
 
         Parameters
--- a/papayapick/pool/advising.py
+++ b/papayapick/pool/advising.py
@@ -77,7 +77,7 @@
             return True
         if not may_fit:
             return False
-        return self._owner.rooms.has_free(step, self._book.unfit(step.key))
+        return self._owner.rooms.has_room_for(step, self._book.unfit(step.key))
 
     def known_fit(self, step):
         """Return the workers that may run a step by the last answer; may be none."""
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -56,7 +56,7 @@
         self.lookahead = AdviceBudget(owner.rooms)
         self.holds = Holds(owner.rooms, owner.book.step_of, now)
         # As the round begins; there is less as it goes on.
-        self._most_free = owner.rooms.most_free()
+        self._most_free = owner.rooms.max_free()
         least = _least_demand(steps)
         self._roomy = {
             room.worker: room
