--- a/papayapick/placement/holds.py
+++ b/papayapick/placement/holds.py
@@ -141,7 +141,7 @@
             for room in self._rooms.able(step)
             if room.is_open
             and room.hold is None
-            and not room.has_unmeasured
+            and not room.has_unknown_demand
             and (allowed is None or room.worker in allowed)
             and (is_gang or _is_large(step.room_demand, room.registration.capacity))
         ]
--- a/papayapick/placement/preemption.py
+++ b/papayapick/placement/preemption.py
@@ -62,7 +62,7 @@
         # Those below a priority, by worker.
         self._below = {}
         for room in rooms:
-            found = [] if room.has_unmeasured else _stoppable(room, priority_of)
+            found = [] if room.has_unknown_demand else _stoppable(room, priority_of)
             if found:
                 self._by_room[room] = found
 
@@ -163,7 +163,7 @@
         return (room for room in able if self._may_use(room))
 
     def _may_use(self, room):
-        if not room.is_open or room.has_unmeasured or room.is_failing:
+        if not room.is_open or room.has_unknown_demand or room.is_failing:
             return False
         if room.hold is not None and room.hold.step_key != self._step.key:
             # Its room goes to another step, however much is made.
--- a/papayapick/placement/rooms.py
+++ b/papayapick/placement/rooms.py
@@ -34,7 +34,7 @@
 
     __slots__ = (
         "_suspected_until",
-        "_unmeasured",
+        "_unknown_demands",
         "accelerators",
         "filler_processors",
         "hold",
@@ -59,7 +59,7 @@
         self.hold = None
         # Runs of jobs that are over or forgotten: what they take is not known, and
         # nothing is placed beside them until they have ended.
-        self._unmeasured = 0
+        self._unknown_demands = 0
         self.is_suspected = False
         self.is_failing = False
         self._suspected_until = float("-inf")
@@ -83,9 +83,9 @@
         return ""
 
     @property
-    def has_unmeasured(self):
+    def has_unknown_demand(self):
         """Return whether it runs something of which nobody knows what it takes."""
-        return bool(self._unmeasured)
+        return bool(self._unknown_demands)
 
     @property
     def serving_runs(self):
@@ -106,7 +106,7 @@
     def has_room(self, demand):
         """Return whether a demand fits beside all that is reserved."""
         return (
-            not self._unmeasured
+            not self._unknown_demands
             and demand.processors <= self.processors
             and demand.memory <= self.memory
             and demand.accelerators <= self.accelerators
@@ -125,7 +125,7 @@
 
     def _count(self, run, sign):
         if run.demand is None:
-            self._unmeasured += sign
+            self._unknown_demands += sign
             return
         self.processors -= sign * run.demand.processors
         self.memory -= sign * run.demand.memory
