--- a/papayapick/placement/waves.py
+++ b/papayapick/placement/waves.py
@@ -8,7 +8,13 @@
 
 from papayapick.jobs.runs import RunPhase
 
-__all__ = ["Wave", "WaveRecord", "choose_machines", "patience_seconds", "runs_to_move"]
+__all__ = [
+    "Wave",
+    "WaveRecord",
+    "choose_machines",
+    "drain_limit_seconds",
+    "runs_to_stop",
+]
 
 # A task that works has this percent once it is up; lasting tasks stay there.
 _AT_WORK = 100
@@ -102,7 +108,7 @@
                 del self.ordered[name]
 
 
-def choose_machines(wave, record, machines, is_own, loads, emptied=()):
+def choose_machines(wave, record, machines, is_own, loads, draining=()):
     """Return the machines of an owner that are emptied and have their upkeep now.
 
     Parameters
@@ -115,7 +121,7 @@
         Takes a machine; returns whether its upkeep is this owner's part.
     loads : dict of str to int
         For each worker, millicores of what runs there.
-    emptied : container of str
+    draining : container of str
         Workers that are being emptied already.
 
     Returns
@@ -140,7 +146,7 @@
         # taken by turns would never be empty. Else where the least runs, the least is
         # moved, and it is ready soonest.
         worker = machines[name].worker
-        return worker not in emptied, loads.get(worker, 0), name
+        return worker not in draining, loads.get(worker, 0), name
 
     fresh = sorted(
         (name for name in left if name not in record.ordered and machines[name].is_up),
@@ -150,7 +156,7 @@
     return again + fresh[: max(0, wave.at_once - len(away))]
 
 
-def patience_seconds(rest, left, at_once, upkeep_seconds):
+def drain_limit_seconds(rest, left, at_once, upkeep_seconds):
     """Return how long a machine may be emptied before what is left is stopped.
 
     Parameters
@@ -177,7 +183,7 @@
     return min(_MOST_PATIENCE_SECONDS, max(0.0, spare))
 
 
-def runs_to_move(room, step_of, is_over):
+def runs_to_stop(room, step_of, is_over):
     """Return the runs of a machine that is emptied which are to be stopped now.
 
     Parameters
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -5,8 +5,8 @@
 from papayapick.placement.waves import (
     WaveRecord,
     choose_machines,
-    patience_seconds,
-    runs_to_move,
+    drain_limit_seconds,
+    runs_to_stop,
 )
 from papayapick.platform.exceptions import CheckFailed
 from papayapick.platform.machines import UpkeepOutcome
@@ -146,7 +146,7 @@
             del self._open[key]
             return
         rest = record.since + wave.seconds - self._owner.host.clock.time()
-        patience = patience_seconds(
+        patience = drain_limit_seconds(
             rest, len(left), wave.at_once, self._owner.host.settings.upkeep_seconds
         )
         for name in chosen:
@@ -212,7 +212,7 @@
             if room is None:
                 return True
             is_over = now - found.emptied_since.get(worker, now) >= patience
-            moved = runs_to_move(room, self._owner.book.step_of, is_over)
+            moved = runs_to_stop(room, self._owner.book.step_of, is_over)
             for run in moved:
                 self._owner.orders.stop_once(run, now)
             return not room.runs
