--- a/papayapick/placement/holds.py
+++ b/papayapick/placement/holds.py
@@ -35,17 +35,17 @@
     Parameters
     ----------
     step_key : StepKey
-    in_seconds : float
+    free_in_seconds : float
         Until it is free as far as is known.
     spare : Amounts
         What is left beside the step's tasks by then.
     """
 
-    __slots__ = ("in_seconds", "spare", "step_key")
+    __slots__ = ("free_in_seconds", "spare", "step_key")
 
-    def __init__(self, step_key, in_seconds, spare):
+    def __init__(self, step_key, free_in_seconds, spare):
         self.step_key = step_key
-        self.in_seconds = in_seconds
+        self.free_in_seconds = free_in_seconds
         self.spare = spare
 
     def admits(self, step_state):
@@ -54,9 +54,9 @@
             return True
         if step_state.step.room_demand.fits_in(self.spare):
             return True
-        return _likely_seconds(step_state) <= self.in_seconds
+        return _likely_seconds(step_state) <= self.free_in_seconds
 
-    def note_taken(self, demand):
+    def take_spare(self, demand):
         """Take in that a task of another step was placed beside it."""
         self.spare = self.spare - demand
 
@@ -201,8 +201,8 @@
             # Were the hold put off for it, more would be placed, and so on for ever.
             begins_at = min(begins_at, step_state.held_on.get(room.worker, begins_at))
             held_on[room.worker] = begins_at
-            in_seconds = max(0.0, begins_at - self._now)
-            room.hold = Hold(step_state.key, in_seconds, spare)
+            free_in_seconds = max(0.0, begins_at - self._now)
+            room.hold = Hold(step_state.key, free_in_seconds, spare)
         step_state.held_on = held_on
         if not found:
             return None
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -237,7 +237,7 @@
         room = self._owner.rooms.get(worker)
         room.reserve(run)
         if room.hold is not None and room.hold.step_key != step.key:
-            room.hold.note_taken(run.demand)
+            room.hold.take_spare(run.demand)
         return run
 
     def start_copies(self, now):
