--- a/papayapick/placement/backlog.py
+++ b/papayapick/placement/backlog.py
@@ -1,10 +1,10 @@
-"""Decide whether a queue still takes jobs, and when those turned away may return.
+"""Decide whether a queue accepts jobs, and when rejected ones may be submitted again.
 
-Answers a load above what the pool can do that lasts. What waits then grows without
-bound: each job costs memory and a look in every round, and those handed in last would
-begin when their callers have long given up. A queue whose backlog takes longer to begin
-than the limit turns new jobs away at once, with the time after which, at the rate at
-which jobs begin, it has shrunk below the limit.
+Under sustained load above the capacity of the pool, the backlog would grow without
+bound: each waiting job takes memory and is examined in every scheduling round, and the
+jobs submitted last would start long after their callers have given up. A queue whose
+backlog takes longer than the limit to start rejects new jobs at once, and returns the
+time after which the backlog, at the current start rate, is below the limit.
 """
 
 import collections
@@ -12,38 +12,40 @@
 
 __all__ = ["BacklogMonitor", "QueueBacklog"]
 
-# Jobs that began within this time give the rate: long enough for some jobs of a slow
-# queue, short enough to follow a pool that shrinks.
+# The start rate is measured over this window: long enough to contain some starts of a
+# slow queue, short enough to follow a shrinking pool.
 _WINDOW_SECONDS = 10.0
-# Before a backlog came, jobs began as they were handed in, which is no sign of what the
-# pool can do: the rate is that of the time since, and is believed only after this.
-_SETTLE_SECONDS = 5.0
-# A backlog that takes longer is not added to, however patient its work is: it is handed
-# in again.
+# Without a backlog, jobs start at the rate of their submission, which says nothing of
+# the capacity of the pool. The rate is therefore measured since the backlog formed, and
+# used only after this time.
+_WARM_UP_SECONDS = 5.0
+# A queue whose backlog takes longer to start rejects new jobs, however long these could
+# wait; their callers submit them again.
 _LIMIT_SECONDS = 60.0
-# Nor one that takes longer than its jobs are of use to their callers, which for urgent
-# ones is some seconds: what is accepted then takes the owner's time for nothing.
-_LEAST_LIMIT_SECONDS = 5.0
-# The sooner work is of no use, the sooner the rate must be believed.
-_SETTLE_SHARE = 1 / 3
-# Fewer waiting jobs are no load, however slowly they begin: after a start, or while one
-# wide job fills the pool, nothing has begun yet.
-_LEAST_JOBS = 200
-# Nobody is sent away for longer: the rate changes meanwhile.
-_LONGEST_PAUSE_SECONDS = 30
-# Holds 300 starts of jobs a second for the window.
-_TIMES_KEPT = 3000
+# The limit is lower where jobs are useful to their callers for a shorter time, which is
+# some seconds for urgent ones: jobs that start later only cost the owner time. It is
+# never below this.
+_MIN_LIMIT_SECONDS = 5.0
+# The shorter the limit, the sooner the measured rate must be used.
+_WARM_UP_SHARE = 1 / 3
+# With fewer waiting jobs none is rejected, whatever the rate: after a restart, or while
+# one wide job fills the pool, no job has started yet.
+_MIN_WAITING_JOBS = 200
+# Upper bound of the retry delay, since the rate changes in the meantime.
+_MAX_RETRY_AFTER_SECONDS = 30
+# Enough for 300 job starts per second over the window.
+_MAX_STARTS = 3000
 
 
 class QueueBacklog:
-    """Hold what other hosts are told of one queue.
+    """Backlog of one queue, as announced to the other hosts.
 
     Parameters
     ----------
     waiting : int
-        Jobs that have not begun.
+        Number of jobs that have not started.
     retry_after : int
-        Seconds after which a new job may be handed in; 0 where it may now.
+        Seconds after which a new job may be submitted; 0 if it may be now.
     """
 
     __slots__ = ("retry_after", "waiting")
@@ -54,58 +56,58 @@
 
 
 class BacklogMonitor:
-    """Observe how fast the jobs of each queue begin."""
+    """Measure the rate at which the jobs of each queue start."""
 
-    __slots__ = ("_begun", "_since")
+    __slots__ = ("_backlog_since", "_starts")
 
     def __init__(self):
-        self._begun = {}
-        # Since when a queue has had a backlog, in monotonic seconds.
-        self._since = {}
+        self._starts = {}
+        # Monotonic time at which the backlog of each queue formed.
+        self._backlog_since = {}
 
     def note_first_start(self, queue, now):
-        """Note that a job of a queue has its first task placed."""
-        times = self._begun.setdefault(queue, collections.deque(maxlen=_TIMES_KEPT))
+        """Record that the first task of a job of a queue was placed."""
+        times = self._starts.setdefault(queue, collections.deque(maxlen=_MAX_STARTS))
         times.append(now)
 
     def backlog(self, queue, waiting, now, useful_seconds=_LIMIT_SECONDS):
-        """Return what is to be told of a queue.
+        """Return the backlog of a queue to announce to the other hosts.
 
         Parameters
         ----------
         queue : str
         waiting : int
-            Its jobs that could begin and have not.
+            Number of its jobs that are ready and have not started.
         now : float
             Monotonic seconds.
         useful_seconds : float, optional
-            So long after it was accepted a job of the queue is of use to its caller.
+            Time after acceptance for which a job of the queue is useful to its caller.
 
         Returns
         -------
         QueueBacklog
         """
-        limit = min(_LIMIT_SECONDS, max(_LEAST_LIMIT_SECONDS, useful_seconds))
+        limit = min(_LIMIT_SECONDS, max(_MIN_LIMIT_SECONDS, useful_seconds))
         return QueueBacklog(waiting, self._retry_after(queue, waiting, now, limit))
 
     def _retry_after(self, queue, waiting, now, limit):
-        if waiting < _LEAST_JOBS:
-            self._since.pop(queue, None)
+        if waiting < _MIN_WAITING_JOBS:
+            self._backlog_since.pop(queue, None)
             return 0
-        elapsed = now - self._since.setdefault(queue, now)
-        if elapsed < min(_SETTLE_SECONDS, _SETTLE_SHARE * limit):
+        elapsed = now - self._backlog_since.setdefault(queue, now)
+        if elapsed < min(_WARM_UP_SECONDS, _WARM_UP_SHARE * limit):
             return 0
         rate = self._rate(queue, now, min(elapsed, _WINDOW_SECONDS))
         if waiting <= limit * rate:
             return 0
         if not rate:
-            return _LONGEST_PAUSE_SECONDS
+            return _MAX_RETRY_AFTER_SECONDS
         seconds = waiting / rate - limit
-        return min(_LONGEST_PAUSE_SECONDS, math.ceil(seconds))
+        return min(_MAX_RETRY_AFTER_SECONDS, math.ceil(seconds))
 
     def _rate(self, queue, now, window):
-        """Return the jobs of a queue that began in a second, of so many seconds."""
-        times = self._begun.get(queue, ())
+        """Return the job starts per second of a queue within a window of seconds."""
+        times = self._starts.get(queue, ())
         while times and now - times[0] > _WINDOW_SECONDS:
             times.popleft()
-        return sum(now - one <= window for one in times) / window
+        return sum(now - time <= window for time in times) / window
--- a/papayapick/placement/copies.py
+++ b/papayapick/placement/copies.py
@@ -1,21 +1,21 @@
-"""Start second copies of stragglers, where their step allows it.
+"""Select straggler tasks for speculative copies, where their step allows copies.
 
-Answers the load in which a few workers are slow or stall while their health is
-good: a step waits for its last task at several times the length of the others.
+Guards against workers that are slow or stall while they report good health: the step
+waits for its last task, which takes several times as long as the others.
 """
 
 from papayapick.jobs.runs import RunPhase
 
 __all__ = ["stragglers"]
 
-# Tasks of a step differ by a factor of two as a rule; this is past it.
+# Above the usual variation of run times within a step, which is a factor of two.
 _SLOW_FACTOR = 2.5
-# Orders and lists take up to half a second beside the work itself.
-_SLACK_SECONDS = 0.5
+# Start orders and worker reports add up to half a second to the run time.
+_OVERHEAD_SECONDS = 0.5
 
 
 def stragglers(step, now):
-    """Return the tasks of a step that deserve a second copy.
+    """Return the tasks of a step that should get a second copy.
 
     Parameters
     ----------
@@ -25,15 +25,15 @@
     Returns
     -------
     list of int
-        Indexes, slowest first. A task is compared with those of its step that are
-        done, or while none is, with the caller's estimate.
+        Task indexes, slowest first. Run times are compared with those of the completed
+        tasks of the step or, while there are none, with the caller's estimate.
     """
     if not step.step.allows_copies or step.step.is_gang or step.waiting:
         return []
     usual = step.usual_seconds or step.step.estimate_seconds
     if not usual:
         return []
-    limit = _SLOW_FACTOR * usual + _SLACK_SECONDS
+    limit = _SLOW_FACTOR * usual + _OVERHEAD_SECONDS
     slow = [
         (task.runs[0].worked_seconds(now), index)
         for index, task in enumerate(step.tasks)
--- a/papayapick/placement/failures.py
+++ b/papayapick/placement/failures.py
@@ -1,4 +1,4 @@
-"""Tell jobs that fail everywhere from workers that fail everything."""
+"""Distinguish jobs that fail on every host from hosts on which every job fails."""
 
 import threading
 
@@ -6,15 +6,15 @@
 
 _JOBS_PER_HOST = 3
 _HOSTS_PER_JOB = 3
-_SHARE = 0.1
-_FIRST_SECONDS = 60.0
-_LONGEST_SECONDS = 3600.0
+_MAX_QUARANTINED_SHARE = 0.1
+_MIN_QUARANTINE_SECONDS = 60.0
+_MAX_QUARANTINE_SECONDS = 3600.0
 
 
 class _Suspect:
-    """Hold what failed on a host since something last succeeded there."""
+    """Jobs that failed on a host since its last success, and its quarantine."""
 
-    __slots__ = ("quarantine_seconds", "jobs", "quarantined_until")
+    __slots__ = ("jobs", "quarantine_seconds", "quarantined_until")
 
     def __init__(self):
         self.jobs = set()
@@ -23,32 +23,32 @@
 
 
 class FailureTracker:
-    """Set workers aside that fail different jobs, and count where a job failed.
+    """Quarantine hosts on which several jobs fail, and track where each job failed.
 
-    A failure speaks against the worker only while its job has failed nowhere
-    else: a job that can't run would otherwise take one worker after the other
-    out of the cell. A worker set aside is let in again after a time that doubles
-    with each relapse; then its first failure sets it aside and its first success
-    clears it.
+    A failure counts against a host only while its job has failed on no other host:
+    a job that cannot run would otherwise put one host after the other into
+    quarantine. The duration of a quarantine doubles with each relapse. After it,
+    the first failure puts the host back into quarantine, and the first success
+    clears its record.
 
     Parameters
     ----------
     ledger : HostLedger
     share : float
-        Most workers set aside at once, as a share of all; one at least.
+        Maximum share of all hosts in quarantine at once; at least one host.
     """
 
     __slots__ = (
-        "_quarantined",
         "_failed",
         "_ledger",
         "_lock",
+        "_quarantined",
         "_refused",
         "_share",
         "_suspects",
     )
 
-    def __init__(self, ledger, share=_SHARE):
+    def __init__(self, ledger, share=_MAX_QUARANTINED_SHARE):
         self._ledger = ledger
         self._share = share
         self._suspects = {}
@@ -59,23 +59,23 @@
 
     @property
     def quarantined(self):
-        """Return the names of the workers set aside."""
+        """Return the names of the hosts in quarantine."""
         with self._lock:
             return set(self._quarantined)
 
     def hosts_to_avoid(self, job):
-        """Return the hosts to avoid for a job: it failed there or was refused."""
+        """Return the hosts on which a job failed or its start was refused."""
         with self._lock:
             failed = self._failed.get(job, set())
             return frozenset(failed | self._refused.get(job, set()))
 
     def fails_everywhere(self, job):
-        """Return whether a job failed on so many hosts that it is to blame."""
+        """Return whether a job failed on enough hosts to be itself the cause."""
         limit = min(_HOSTS_PER_JOB, len(self._ledger.names))
         return len(self._failed.get(job, ())) >= max(1, limit)
 
     def note_failure(self, host, job, now):
-        """Count a member that failed on a host.
+        """Record that a member of a job failed on a host.
 
         Parameters
         ----------
@@ -91,25 +91,25 @@
                 self._suspect(host, job, now)
 
     def note_refusal(self, host, job, now):
-        """Count a start that a host refused or did not answer."""
+        """Record that a host refused the start of a job or did not answer."""
         with self._lock:
             self._refused.setdefault(job, set()).add(host)
             self._suspect(host, job, now)
 
     def note_success(self, host):
-        """Clear a host: something ran there to its end."""
+        """Clear the record of a host on which a job has completed."""
         with self._lock:
             self._suspects.pop(host, None)
             self._readmit(host)
 
     def forget(self, job):
-        """Drop a job that has ended."""
+        """Delete the record of a job that has ended."""
         with self._lock:
             self._failed.pop(job, None)
             self._refused.pop(job, None)
 
     def readmit_due(self, now):
-        """Let workers in again whose time is over."""
+        """Readmit the hosts whose quarantine has expired."""
         with self._lock:
             for host in list(self._quarantined):
                 if self._suspects[host].quarantined_until <= now:
@@ -127,12 +127,12 @@
         )
         if not is_relapse and len(suspect.jobs) < _JOBS_PER_HOST:
             return
-        # Many failing at once is more likely the fault of what they share.
+        # Where many hosts fail at once, the cause is more likely one that they share.
         limit = max(1, int(self._share * len(self._ledger.names)))
         if host in self._quarantined or len(self._quarantined) >= limit:
             return
-        doubled = max(_FIRST_SECONDS, 2 * suspect.quarantine_seconds)
-        suspect.quarantine_seconds = min(_LONGEST_SECONDS, doubled)
+        doubled = max(_MIN_QUARANTINE_SECONDS, 2 * suspect.quarantine_seconds)
+        suspect.quarantine_seconds = min(_MAX_QUARANTINE_SECONDS, doubled)
         suspect.quarantined_until = now + suspect.quarantine_seconds
         self._quarantined.add(host)
         self._ledger.set_aside(host, True)
