--- a/papayapick/placement/gangs.py
+++ b/papayapick/placement/gangs.py
@@ -1,4 +1,4 @@
-"""Reserve all members of a job at once, now or at the earliest time."""
+"""Reserve room for all members of a job at once, now or at the earliest time."""
 
 from papayapick.ledger import Amounts
 from papayapick.placement.jobs import Place
@@ -9,13 +9,13 @@
 
 
 class PromisedStart:
-    """Hold the time at which all members of a job fit, and their hosts.
+    """Time at which all members of a job fit, and the room to hold for them.
 
     Parameters
     ----------
     time : float
     holds : dict of str to Amounts
-        Room that is free already on each host and must still be free then.
+        Room that is free now on each host and must stay free until that time.
     """
 
     __slots__ = ("holds", "time")
@@ -26,11 +26,11 @@
 
 
 def reserve_all(ledger, policy, job):
-    """Reserve every member of a job, or none.
+    """Reserve room for every member of a job, or for none.
 
-    Two jobs that each hold some of their members and wait for the rest would
-    wait for each other for ever; under the ledger's lock neither sees the other
-    half done, and a job that lacks one place gives all back before it returns.
+    Two jobs that each hold room for some of their members and wait for the rest
+    would deadlock. The ledger's lock is held throughout, and if one member does not
+    fit, all reservations are released before the function returns.
 
     Parameters
     ----------
@@ -41,12 +41,13 @@
     Returns
     -------
     list of Place or None
+        None if the job does not fit.
     """
     places = []
     with ledger.lock:
         if not ledger.may_hold(job.demand, job.members):
             return None
-        hidden = _hide(ledger, job.avoid)
+        closed = _close(ledger, job.avoid)
         try:
             for number in range(job.members):
                 name = policy.choose(ledger, job.demand)
@@ -58,13 +59,13 @@
                 ledger.reserve(name, task, job.demand)
                 places.append(Place(name, task))
         finally:
-            for name in hidden:
+            for name in closed:
                 ledger.open(name)
     return places
 
 
 def promise_start(ledger, job, running, now):
-    """Return when and where a job fits if every run lasts to its bound.
+    """Return the earliest start of a job if every run takes its maximum run time.
 
     Parameters
     ----------
@@ -75,76 +76,76 @@
 
     Returns
     -------
-    Promise or None
-        None where the open hosts can't hold the job even when empty.
+    PromisedStart or None
+        None if the job does not fit on the open hosts even when they are empty.
     """
     names = [name for name in ledger.open_hosts() if name not in job.avoid]
     free = {name: ledger.free(name) for name in names}
     released = {}
-    counts = {name: _count(ledger, name, free[name], job) for name in names}
-    room = sum(counts.values())
+    counts = {name: _members_that_fit(ledger, name, free[name], job) for name in names}
+    fitting = sum(counts.values())
     time = now
     for end, host, amounts in _ends(running, now):
-        if room >= job.members:
+        if fitting >= job.members:
             break
         if host not in free:
             continue
         time = end
         released[host] = released.get(host, _NOTHING) + amounts
-        count = _count(ledger, host, free[host] + released[host], job)
-        room += count - counts[host]
+        count = _members_that_fit(ledger, host, free[host] + released[host], job)
+        fitting += count - counts[host]
         counts[host] = count
-    if room < job.members:
+    if fitting < job.members:
         return None
     return PromisedStart(time, _holds(job, counts, released))
 
 
-def _hide(ledger, names):
-    hidden = [name for name in names if ledger.is_open(name)]
-    for name in hidden:
+def _close(ledger, names):
+    closed = [name for name in names if ledger.is_open(name)]
+    for name in closed:
         ledger.close(name)
-    return hidden
+    return closed
 
 
 def _ends(running, now):
-    found = [
+    ends = [
         (max(one.end, now), place.host, one.job.demand)
         for one in running
         for place in one.places
     ]
-    return sorted(found, key=lambda end: end[0])
+    return sorted(ends, key=lambda end: end[0])
 
 
-def _count(ledger, name, free, job):
+def _members_that_fit(ledger, name, free, job):
     demand = job.demand
     free = ledger.usable(name, free, demand)
     count = job.members
-    for there, needed in (
+    for available, needed in (
         (free.processors, demand.processors),
         (free.memory, demand.memory),
         (free.accelerators, demand.accelerators),
     ):
-        if there < needed or there < 0:
+        if available < needed or available < 0:
             return 0
         if needed:
-            count = min(count, there // needed)
+            count = min(count, available // needed)
     return count
 
 
 def _holds(job, counts, released):
-    # Most members to a host: fewer hosts are held.
-    left = job.members
+    # Fill the hosts that fit most members first, so that room is held on fewer hosts.
+    remaining = job.members
     holds = {}
     for name in sorted(counts, key=counts.get, reverse=True):
-        members = min(left, counts[name])
+        members = min(remaining, counts[name])
         if not members:
             break
-        left -= members
-        holds[name] = _rest(job.demand, members, released.get(name, _NOTHING))
+        remaining -= members
+        holds[name] = _room_to_hold(job.demand, members, released.get(name, _NOTHING))
     return holds
 
 
-def _rest(demand, members, released):
+def _room_to_hold(demand, members, released):
     return Amounts(
         max(0, demand.processors * members - released.processors),
         max(0, demand.memory * members - released.memory),
--- a/papayapick/placement/instances.py
+++ b/papayapick/placement/instances.py
@@ -13,60 +13,63 @@
 
 
 class InstancePolicy(Protocol):
-    """Choose one instance with a free slot, and hear what became of the call."""
+    """Choose an instance with a free slot, and track the outcomes of its calls."""
 
     def choose(self, ledger, service, avoid=()):
-        """Return the name of an instance, or None where none has room."""
+        """Return the name of an instance, or None if none has a free slot."""
 
     def granted(self, service, name, grant):
-        """Note that a call is about to go to an instance."""
+        """Record that a call is about to be sent to an instance."""
 
     def ended(self, grant, outcome, seconds):
-        """Note what became of the call."""
+        """Record the outcome of a call."""
 
     def free_slots(self, ledger, service):
-        """Return the free slots that the policy would use."""
+        """Return the number of free slots that the policy would use."""
 
 
-class _Unheeding:
-    """Hear nothing of what became of the calls."""
+class _OutcomeBlindPolicy:
+    """Base of policies that ignore the outcomes of calls."""
 
     __slots__ = ()
 
     def granted(self, service, name, grant):
-        """Note nothing."""
+        """Ignore the call."""
 
     def ended(self, grant, outcome, seconds):
-        """Note nothing."""
+        """Ignore the outcome."""
 
     def free_slots(self, ledger, service):
-        """Return the free slots of the open instances."""
+        """Return the number of free slots of the open instances."""
         return ledger.free_slots(service)
 
 
-def _with_room(ledger, service, avoid):
-    """Return name and slots in use of instances with room, preferably not avoided."""
-    found = [
+def _with_free_slot(ledger, service, avoid):
+    """Return name and slots in use of instances with a free slot.
+
+    Instances to avoid are returned only if no other has a free slot.
+    """
+    candidates = [
         (name, busy)
         for name, busy, limit in ledger.open_instances(service)
         if busy < limit
     ]
-    return [one for one in found if one[0] not in avoid] or found
+    return [entry for entry in candidates if entry[0] not in avoid] or candidates
 
 
 class HealthAware:
-    """Take the cheapest of the instances that are well.
+    """Choose the healthy instance with the lowest cost.
 
-    Instances that fail or answer late are ejected for a while, then probed by
-    one call at a time.
+    Instances that fail or answer late are ejected for a time, then probed by one
+    call at a time.
 
     Parameters
     ----------
     health : InstanceHealth
     generator : random.Random
-        Breaks ties; otherwise the first of equals would get all the work.
+        Breaks ties; otherwise the first of equal instances would get all calls.
     draws : int, optional
-        Compare so many random draws instead of all instances.
+        Number of instances drawn at random and compared; all by default.
     """
 
     __slots__ = ("_draws", "_generator", "_health")
@@ -77,20 +80,20 @@
         self._draws = draws
 
     def choose(self, ledger, service, avoid=()):
-        """Return a due probe, else the cheapest instance that is well."""
+        """Return an instance due for a probe, else the cheapest healthy one."""
         health = self._health
         usable = []
-        for name, busy in _with_room(ledger, service, avoid):
+        for name, busy in _with_free_slot(ledger, service, avoid):
             if not health.is_ejected(service, name):
                 usable.append((name, busy))
             elif name not in avoid and health.is_probe_due(service, name):
-                # Left to its cost, an ejected instance would never be tried.
+                # By its cost alone, an ejected instance would never be chosen.
                 return name
         if not usable:
-            if self._has_well(ledger, service):
+            if self._has_healthy(ledger, service):
                 return None
-            # All that are open were ejected: refusing would help nobody.
-            usable = _with_room(ledger, service, avoid)
+            # All open instances are ejected: use them rather than refuse every call.
+            usable = _with_free_slot(ledger, service, avoid)
             if not usable:
                 return None
         if self._draws and len(usable) > self._draws:
@@ -98,21 +101,21 @@
         draw = self._generator.random
         return min(
             usable,
-            key=lambda found: (health.cost(service, *found), draw()),
+            key=lambda entry: (health.cost(service, *entry), draw()),
         )[0]
 
     def granted(self, service, name, grant):
-        """Note that a call is about to go to an instance."""
+        """Record that a call is about to be sent to an instance."""
         self._health.granted(service, name, grant)
 
     def ended(self, grant, outcome, seconds):
-        """Note what became of the call."""
+        """Record the outcome of a call."""
         self._health.ended(grant, outcome, seconds)
 
     def free_slots(self, ledger, service):
-        """Return the free slots of instances that are not ejected.
+        """Return the number of free slots of instances that are not ejected.
 
-        The idle slots of a failing instance would draw load to its shard.
+        Counting the idle slots of a failing instance would attract load to its shard.
         """
         return sum(
             max(0, limit - busy)
@@ -120,15 +123,15 @@
             if not self._health.is_ejected(service, name)
         )
 
-    def _has_well(self, ledger, service):
+    def _has_healthy(self, ledger, service):
         return any(
             not self._health.is_ejected(service, name)
             for name, _, _ in ledger.open_instances(service)
         )
 
 
-class PowerOfTwo(_Unheeding):
-    """Draw two instances and take the one with fewer slots in use.
+class PowerOfTwo(_OutcomeBlindPolicy):
+    """Draw two instances at random and choose the one with fewer slots in use.
 
     Parameters
     ----------
@@ -141,17 +144,17 @@
         self._generator = generator
 
     def choose(self, ledger, service, avoid=()):
-        """Return the less loaded of two draws with room, else any with room."""
-        found = _with_room(ledger, service, avoid)
-        if not found:
+        """Return the less loaded of two instances with a free slot, or None."""
+        candidates = _with_free_slot(ledger, service, avoid)
+        if not candidates:
             return None
-        first = self._generator.choice(found)
-        second = self._generator.choice(found)
-        return min(first, second, key=lambda one: one[1])[0]
+        first = self._generator.choice(candidates)
+        second = self._generator.choice(candidates)
+        return min(first, second, key=lambda entry: entry[1])[0]
 
 
-class RandomInstance(_Unheeding):
-    """Take any instance with room.
+class RandomInstance(_OutcomeBlindPolicy):
+    """Choose a random instance with a free slot.
 
     Parameters
     ----------
@@ -164,24 +167,24 @@
         self._generator = generator
 
     def choose(self, ledger, service, avoid=()):
-        """Return any instance with room."""
-        found = _with_room(ledger, service, avoid)
-        return self._generator.choice(found)[0] if found else None
+        """Return a random instance with a free slot, or None."""
+        candidates = _with_free_slot(ledger, service, avoid)
+        return self._generator.choice(candidates)[0] if candidates else None
 
 
-class LeastLoaded(_Unheeding):
-    """Take the least loaded of all: the baseline that looks at every one."""
+class LeastLoaded(_OutcomeBlindPolicy):
+    """Choose the least loaded of all instances; a baseline for benchmarks."""
 
     __slots__ = ()
 
     def choose(self, ledger, service, avoid=()):
-        """Return the least loaded instance with room."""
-        found = _with_room(ledger, service, avoid)
-        return min(found, key=lambda one: one[1])[0] if found else None
+        """Return the least loaded instance with a free slot, or None."""
+        candidates = _with_free_slot(ledger, service, avoid)
+        return min(candidates, key=lambda entry: entry[1])[0] if candidates else None
 
 
-class RoundRobin(_Unheeding):
-    """Take the instances in turn: the simplest baseline."""
+class RoundRobin(_OutcomeBlindPolicy):
+    """Choose the instances in turn; a baseline for benchmarks."""
 
     __slots__ = ("_next",)
 
@@ -189,10 +192,10 @@
         self._next = 0
 
     def choose(self, ledger, service, avoid=()):
-        """Return the next instance with room."""
-        found = ledger.open_instances(service)
-        for _ in range(len(found)):
-            name, busy, limit = found[self._next % len(found)]
+        """Return the next instance with a free slot, or None."""
+        candidates = ledger.open_instances(service)
+        for _ in range(len(candidates)):
+            name, busy, limit = candidates[self._next % len(candidates)]
             self._next += 1
             if busy < limit and name not in avoid:
                 return name
