--- a/papayapick/placement/host_policies.py
+++ b/papayapick/placement/host_policies.py
@@ -1,4 +1,4 @@
-"""Choose a worker for one task."""
+"""Policies that choose the host of one task."""
 
 from typing import Protocol
 
@@ -6,30 +6,30 @@
 
 
 class HostPolicy(Protocol):
-    """Choose one open host with room for a demand."""
+    """Choose an open host with room for a demand."""
 
     def choose(self, ledger, demand):
-        """Return the name of a host, or None where none has room."""
+        """Return the name of a host, or None if none has room."""
 
 
 class BestFit:
-    """Ask the ledger's index for the host with least left over."""
+    """Choose the host that has the least room left after the placement."""
 
     __slots__ = ()
 
     def choose(self, ledger, demand):
-        """Return the tightest host that the index holds."""
+        """Return the best fit from the ledger's index, or None."""
         return ledger.tightest(demand)
 
 
 class RandomFit:
-    """Draw hosts until one has room: a baseline.
+    """Draw hosts at random until one has room; a baseline for benchmarks.
 
     Parameters
     ----------
     generator : random.Random
     draws : int
-        After so many, all hosts are looked at.
+        Number of draws after which all hosts are examined.
     """
 
     __slots__ = ("_draws", "_generator")
@@ -39,7 +39,7 @@
         self._draws = draws
 
     def choose(self, ledger, demand):
-        """Return a drawn host with room, else any with room."""
+        """Return a random host with room, or None."""
         names = ledger.open_hosts()
         for _ in range(self._draws if names else 0):
             name = self._generator.choice(names)
@@ -50,12 +50,12 @@
 
 
 class FirstFit:
-    """Take the first host with room in the order they came: a baseline."""
+    """Choose the first host with room, in the ledger's order; a baseline."""
 
     __slots__ = ()
 
     def choose(self, ledger, demand):
-        """Return the first host with room."""
+        """Return the first host with room, or None."""
         for name in ledger.open_hosts():
             if demand.fits_in(ledger.free(name)):
                 return name
@@ -63,12 +63,12 @@
 
 
 class LeastLoadedHost:
-    """Look at all hosts and take the one with most free processors: a baseline."""
+    """Choose the host with most free processors; a baseline for benchmarks."""
 
     __slots__ = ()
 
     def choose(self, ledger, demand):
-        """Return the host with room that has most free processors."""
+        """Return the host with room that has most free processors, or None."""
         fitting = [
             name for name in ledger.open_hosts() if demand.fits_in(ledger.free(name))
         ]
--- a/papayapick/placement/jobs.py
+++ b/papayapick/placement/jobs.py
@@ -1,4 +1,4 @@
-"""Describe jobs that wait and run, and the order in which they start."""
+"""Waiting and running jobs, and the orders in which jobs start."""
 
 import math
 from typing import Protocol
@@ -14,34 +14,34 @@
 
 
 class WaitingJob:
-    """Hold what a start is decided on.
+    """Job that waits to be started.
 
     Parameters
     ----------
     name : str
         Id of the request.
     demand : Amounts
-        Of each member.
+        Room that each member takes.
     members : int
     run_seconds : float
-        Upper bound of a run; whatever runs on is stopped.
+        Maximum run time; a run that exceeds it is stopped.
     arrival, deadline : float
-        Seconds on the clock of the decisions.
+        Seconds on the clock of the scheduling decisions.
     is_urgent : bool
     can_pause : bool
-        Whether it may be checkpointed and go on later.
+        Whether it may be checkpointed and resumed later.
     team : str
     attempt : int
-        Number of the start, part of the tasks' names.
+        Number of the start, part of the names of its tasks.
     avoid : frozenset of str
-        Hosts that it failed on.
+        Hosts on which it failed.
     checkpoints : tuple of str
-        Tasks of an earlier start that its members go on from.
+        Tasks of an earlier start from whose checkpoints its members resume.
 
     Attributes
     ----------
     is_borrowing : bool
-        Whether its start would take its team over the quota.
+        Whether its start would exceed the quota of its team.
     """
 
     __slots__ = (
@@ -90,9 +90,9 @@
         self.is_borrowing = False
 
     def paused(self):
-        """Return the job as it waits again once its members were checkpointed.
+        """Return the job to queue again after its members were checkpointed.
 
-        It keeps its arrival, and so its place in the order.
+        It keeps its arrival, and thereby its place in the order.
         """
         tasks = (f"{self.name}.{self.attempt}.{n}" for n in range(self.members))
         return WaitingJob(
@@ -112,19 +112,19 @@
 
     @property
     def rank(self):
-        """Return 0 for urgent work, 1 for deferred, 2 for what borrows."""
+        """Return 0 for an urgent job, 1 for a deferred and 2 for a borrowing one."""
         if self.is_borrowing:
             return 2
         return 0 if self.is_urgent else 1
 
     @property
     def latest_start(self):
-        """Return the time after which the deadline may be missed."""
+        """Return the latest start with which the deadline is surely met."""
         return self.deadline - self.run_seconds
 
 
 class Place:
-    """Name the task of one member and its host."""
+    """Host and task name of one member of a job."""
 
     __slots__ = ("host", "task")
 
@@ -134,26 +134,26 @@
 
 
 class RunningJob:
-    """Hold a job with the places of its members.
+    """Job that was started, with the places of its members.
 
     Parameters
     ----------
     job : WaitingJob
     places : list of Place
     end : float
-        Time by which the run is over at the latest.
+        Time at which the run ends at the latest.
 
     Attributes
     ----------
     last_report_at : float
         Monotonic time at which all its members were last reported.
     is_given_up : bool
-        Whether its leases are renewed no more, so that it ends.
+        Whether its leases are no longer renewed, so that it ends.
     is_pausing : bool
         Whether it is being checkpointed to make room.
     """
 
-    __slots__ = ("end", "last_report_at", "is_given_up", "is_pausing", "job", "places")
+    __slots__ = ("end", "is_given_up", "is_pausing", "job", "last_report_at", "places")
 
     def __init__(self, job, places, end):
         self.job = job
@@ -165,22 +165,22 @@
 
     @property
     def tasks(self):
-        """Return the names of the members' tasks."""
+        """Return the names of its members' tasks."""
         return [place.task for place in self.places]
 
 
 class JobOrder(Protocol):
-    """Give the place of a job in the queue; it never changes while it waits."""
+    """Order of waiting jobs; the key of a job does not change while it waits."""
 
     def key(self, job):
-        """Return a tuple; the smaller goes first."""
+        """Return the sort key of a job, a tuple."""
 
     def due(self, job):
-        """Return the time from which a job goes before all others."""
+        """Return the time from which a job precedes all others."""
 
 
 class ArrivalOrder:
-    """Serve jobs as they come: a baseline."""
+    """Serve jobs in the order of arrival; a baseline for benchmarks."""
 
     __slots__ = ()
 
@@ -189,17 +189,17 @@
         return (job.arrival,)
 
     def due(self, job):
-        """Return infinity: no job goes before its turn."""
+        """Return infinity: no job precedes those that arrived earlier."""
         return math.inf
 
 
 class DeadlineOrder:
-    """Serve urgent jobs as they come, then others by latest start, with ageing.
+    """Serve urgent jobs by arrival, then deferred jobs by latest start, with ageing.
 
-    Deferred work whose latest start is near goes before urgent work: it must
-    arrive. Among deferred work, a job that has waited for ``ageing_seconds`` stands
-    before all that come from then on, so that a stream of nearer deadlines can't
-    starve it.
+    A deferred job whose latest start is near precedes urgent jobs, so that it meets
+    its deadline. A deferred job that has waited for ``ageing_seconds`` precedes all
+    deferred jobs that arrive from then on, so that a stream of jobs with nearer
+    deadlines cannot starve it.
 
     Parameters
     ----------
@@ -223,13 +223,13 @@
         self._margin_seconds = margin_seconds
 
     def key(self, job):
-        """Return urgent work by arrival, before other work by latest start."""
+        """Return a key that sorts urgent jobs by arrival before all others."""
         if job.is_urgent:
             return (0, job.arrival)
         return (1, min(job.latest_start, job.arrival + self._ageing_seconds))
 
     def due(self, job):
-        """Return shortly before the latest start of deferred work."""
+        """Return the latest start of a deferred job less the margin."""
         if job.is_urgent:
             return math.inf
         return job.latest_start - self._margin_seconds
--- a/papayapick/placement/team_queues.py
+++ b/papayapick/placement/team_queues.py
@@ -1,4 +1,4 @@
-"""Give waiting jobs their order, by urgency, deadline and quota."""
+"""Order the waiting jobs of all teams by urgency, deadline and quota."""
 
 import heapq
 import math
@@ -9,11 +9,11 @@
 
 
 class TeamQueues:
-    """Hold waiting jobs, and walk through them in the order in which they start.
+    """Waiting jobs by team, iterated in the order in which they start.
 
-    First deferred work whose latest start is near, then each team's jobs in the
-    order of the queue as long as the team stays within its quota; last the jobs that
-    borrow, those of the team that uses least of its quota first.
+    Deferred jobs whose latest start is near come first, then the jobs of all teams in
+    the order of the queue as long as their team stays within its quota. Jobs that
+    borrow come last, those of the team with the lowest use of its quota first.
 
     Parameters
     ----------
@@ -45,11 +45,11 @@
         return self._jobs.get(name)
 
     def key(self, name):
-        """Return the place of a waiting job in the order of the queue."""
+        """Return the sort key of a waiting job."""
         return self._keys[name]
 
     def add(self, job):
-        """Add a job that is not there."""
+        """Add a job that is not in the queues."""
         key = (self._order.key(job), job.name)
         self._jobs[job.name] = job
         self._keys[job.name] = key
@@ -59,7 +59,7 @@
             self._due.add((due, job.name))
 
     def discard(self, name):
-        """Remove a job if it is there."""
+        """Remove a job if it is in the queues."""
         job = self._jobs.pop(name, None)
         if job is None:
             return
@@ -70,26 +70,26 @@
         self._due.discard((self._order.due(job), name))
 
     def due(self, now):
-        """Return the names of jobs whose latest start is near."""
+        """Return the names of the jobs whose latest start is near."""
         return [name for _, name in self._due.irange(maximum=(now, ""))]
 
     def walk(self, now):
-        """Yield the jobs in order; ``is_borrowing`` is set on each.
+        """Yield the jobs in order, with ``is_borrowing`` set on each.
 
-        What was yielded counts as started for those that follow.
+        For the quotas of the jobs that follow, each yielded job counts as started.
         """
         due = self.due(now)
         for name in due:
             job = self._jobs[name]
             job.is_borrowing = False
             yield job
-        left = _Positions(self._teams, set(due))
-        borrowers = yield from self._walk_within(left)
-        yield from self._walk_borrowers(left, borrowers)
+        positions = _QueuePositions(self._teams, set(due))
+        borrowers = yield from self._walk_within_quota(positions)
+        yield from self._walk_borrowers(positions, borrowers)
 
-    def _walk_within(self, left):
+    def _walk_within_quota(self, positions):
         planned, borrowers = {}, []
-        heap = [(left.key(team), team) for team in left.teams()]
+        heap = [(positions.key(team), team) for team in positions.teams()]
         heapq.heapify(heap)
         while heap:
             key, team = heapq.heappop(heap)
@@ -101,13 +101,15 @@
             planned[team] = before + job.members
             job.is_borrowing = False
             yield job
-            if left.advance(team):
-                heapq.heappush(heap, (left.key(team), team))
+            if positions.advance(team):
+                heapq.heappush(heap, (positions.key(team), team))
         return borrowers
 
-    def _walk_borrowers(self, left, borrowers):
+    def _walk_borrowers(self, positions, borrowers):
         planned = dict.fromkeys(borrowers, 0)
-        heap = [(self._quotas.ratio(team), left.key(team), team) for team in borrowers]
+        heap = [
+            (self._quotas.ratio(team), positions.key(team), team) for team in borrowers
+        ]
         heapq.heapify(heap)
         while heap:
             _, key, team = heapq.heappop(heap)
@@ -115,32 +117,43 @@
             job.is_borrowing = True
             planned[team] += job.demand.processors * job.members
             yield job
-            if left.advance(team):
+            if positions.advance(team):
                 ratio = self._quotas.ratio(team, planned[team])
-                heapq.heappush(heap, (ratio, left.key(team), team))
+                heapq.heappush(heap, (ratio, positions.key(team), team))
 
 
-class _Positions:
-    """Walk each team's keys, past the names that were seen already."""
+class _QueuePositions:
+    """Position in each team's queue, skipping the jobs that were yielded before.
 
-    __slots__ = ("_heads", "_iterators", "_seen")
+    Parameters
+    ----------
+    teams : dict of str to iterable of key
+        Sorted keys of the jobs of each team.
+    yielded : set of str
+        Names of the jobs to skip.
+    """
+
+    __slots__ = ("_heads", "_iterators", "_yielded")
 
-    def __init__(self, teams, seen):
-        self._seen = seen
+    def __init__(self, teams, yielded):
+        self._yielded = yielded
         self._iterators = {team: iter(keys) for team, keys in teams.items()}
         self._heads = {}
         for team in list(self._iterators):
             self.advance(team)
 
     def teams(self):
+        """Return the teams that have jobs left."""
         return list(self._heads)
 
     def key(self, team):
+        """Return the key of the next job of a team."""
         return self._heads[team]
 
     def advance(self, team):
+        """Move on to the next job of a team; return whether there is one."""
         for key in self._iterators[team]:
-            if key[1] not in self._seen:
+            if key[1] not in self._yielded:
                 self._heads[team] = key
                 return True
         self._heads.pop(team, None)
