--- a/papayapick/placement/queue.py
+++ b/papayapick/placement/queue.py
@@ -1,4 +1,4 @@
-"""Keep the jobs of a shard that wait and run, and choose the next starts."""
+"""Queue of a shard's jobs, which chooses the next starts and pauses."""
 
 import heapq
 import itertools
@@ -13,14 +13,14 @@
 
 __all__ = ["JobQueue"]
 
-# Jobs that one look makes room for.
-_CLAIMS = 16
-# A deferred job waits so long for runs to end before it has others paused.
-_PATIENCE_SECONDS = 60.0
+# Maximum number of jobs for which one pass makes room.
+_MAX_CLAIMS = 16
+# Time for which a deferred job waits for runs to end before others are paused for it.
+_CLAIM_AFTER_SECONDS = 60.0
 
 
 class JobQueue:
-    """Hold jobs in their order and start them by a policy.
+    """Waiting and running jobs of a shard.
 
     Parameters
     ----------
@@ -33,13 +33,13 @@
     __slots__ = (
         "_added",
         "_deadlines",
-        "_due_seen",
         "_ledger",
         "_lock",
         "_policy",
         "_quotas",
         "_running",
-        "_seen",
+        "_seen_due_count",
+        "_seen_version",
         "_waiting",
     )
 
@@ -51,8 +51,8 @@
         self._deadlines = []
         self._running = {}
         self._added = []
-        self._due_seen = 0
-        self._seen = None
+        self._seen_due_count = 0
+        self._seen_version = None
         self._lock = threading.Lock()
 
     def __len__(self):
@@ -63,18 +63,18 @@
 
     @property
     def running(self):
-        """Return the jobs that hold room."""
+        """Return the running jobs."""
         with self._lock:
             return list(self._running.values())
 
     @property
     def promised(self):
-        """Return the name of the job that room is held for, or None."""
-        found = getattr(self._policy, "promised", None)
-        return found[0] if found else None
+        """Return the name of the job for which room is held, or None."""
+        promised = getattr(self._policy, "promised", None)
+        return promised[0] if promised else None
 
     def use_bundle(self, bundle):
-        """Take the teams' quotas of a bundle.
+        """Apply the quotas of the teams in a bundle.
 
         Parameters
         ----------
@@ -84,11 +84,11 @@
             self._quotas.use(bundle.digest, bundle.teams, len(bundle.shards()))
 
     def is_running(self, name):
-        """Return whether a job holds room."""
+        """Return whether a job is running."""
         return name in self._running
 
     def add(self, job):
-        """Let a job wait; one that waits or runs stays as it is.
+        """Add a waiting job, unless a job of its name waits or runs already.
 
         Parameters
         ----------
@@ -102,32 +102,33 @@
             self._added.append(job.name)
 
     def discard_where(self, is_over):
-        """Let jobs wait no longer, all in one go.
+        """Remove all waiting jobs that are over.
 
         Parameters
         ----------
         is_over : callable
-            Tells by the name of a job.
+            Takes the name of a job; returns whether to remove it.
         """
         with self._lock:
             for name in [name for name in self._waiting if is_over(name)]:
                 self._waiting.discard(name)
-            # One of them may have held room for itself.
-            self._seen = None
+            # Room may have been held for one of them: choose anew in the next pass.
+            self._seen_version = None
 
     def adopt(self, running):
-        """Count a job that an earlier owner started; its room is reserved.
+        """Add a job that an earlier owner started.
 
         Parameters
         ----------
         running : RunningJob
+            Its room must be reserved already.
         """
         with self._lock:
             if running.job.name not in self._running:
-                self._count(running)
+                self._add_running(running)
 
     def choose_starts(self, now):
-        """Reserve room for what starts now.
+        """Return the jobs to start now, with their room reserved.
 
         Parameters
         ----------
@@ -141,15 +142,15 @@
             starts = self._choose(now)
             for start in starts:
                 self._waiting.discard(start.job.name)
-                self._count(start)
+                self._add_running(start)
             self._added.clear()
-            self._seen = self._ledger.version
+            self._seen_version = self._ledger.version
             return starts
 
     def choose_pauses(self, now):
-        """Return running jobs to checkpoint for jobs with a claim to their room.
+        """Return the running jobs to pause for jobs with a claim to their room.
 
-        Each is marked as pausing; its room counts as taken until ``finish``.
+        Each is marked as pausing. Its room stays reserved until ``finish``.
 
         Parameters
         ----------
@@ -162,7 +163,7 @@
         with self._lock:
             claims = [
                 job
-                for job in itertools.islice(self._waiting.walk(now), _CLAIMS)
+                for job in itertools.islice(self._waiting.walk(now), _MAX_CLAIMS)
                 if self._has_claim(job, now)
             ]
             if not claims:
@@ -170,26 +171,26 @@
             chosen = choose_pauses(
                 self._ledger, self._quotas, claims, self._running.values(), now
             )
-            for one in chosen:
-                one.is_pausing = True
+            for running in chosen:
+                running.is_pausing = True
             return chosen
 
     def finish(self, name):
-        """Give back the room of a job whose members have all ended."""
+        """Release the room of a job whose members have all ended."""
         with self._lock:
-            found = self._running.pop(name, None)
-            if found is not None:
-                job = found.job
+            finished = self._running.pop(name, None)
+            if finished is not None:
+                job = finished.job
                 self._quotas.finish(job.team, job.demand, job.members)
-        for place in found.places if found else ():
+        for place in finished.places if finished else ():
             try:
                 self._ledger.release(place.task)
             except LedgerError:
-                # A task that the inventory did not find holds nothing.
+                # The inventory did not find the task, so no room is reserved for it.
                 continue
 
     def take_overdue(self, now):
-        """Remove and return the names of waiting jobs past their deadline."""
+        """Remove the waiting jobs past their deadline, and return their names."""
         overdue = []
         with self._lock:
             while self._deadlines and self._deadlines[0][0] < now:
@@ -200,7 +201,7 @@
                     overdue.append(name)
         return overdue
 
-    def _count(self, running):
+    def _add_running(self, running):
         job = running.job
         self._running[job.name] = running
         self._quotas.start(job.team, job.demand, job.members)
@@ -208,31 +209,33 @@
     def _has_claim(self, job, now):
         if job.is_borrowing:
             return False
-        return job.is_urgent or now - job.arrival >= _PATIENCE_SECONDS
+        return job.is_urgent or now - job.arrival >= _CLAIM_AFTER_SECONDS
 
     def _choose(self, now):
         due = len(self._waiting.due(now))
-        is_same = self._seen == self._ledger.version and due == self._due_seen
-        self._due_seen = due
+        is_unchanged = (
+            self._seen_version == self._ledger.version and due == self._seen_due_count
+        )
+        self._seen_due_count = due
         running = self._running.values()
         added = [self._waiting.get(name) for name in self._added]
         added = [job for job in added if job is not None]
-        # Where none but these wait, the first of them has its turn.
-        is_same = is_same and len(self._waiting) > len(added)
-        if is_same and all(self._is_behind(job) for job in added):
-            # The room and what waits for it are as they were: only what came
-            # behind the first that waits may still fit.
+        # If no other jobs wait, the first of the added jobs is the first of all.
+        is_unchanged = is_unchanged and len(self._waiting) > len(added)
+        if is_unchanged and all(self._follows_promised(job) for job in added):
+            # Neither the room nor the jobs that waited have changed, so only the added
+            # jobs may fit.
             added.sort(key=lambda job: self._waiting.key(job.name))
             if not added:
                 return []
             return self._policy.choose_added(self._ledger, added, running, now)
         return self._policy.choose(self._ledger, self._waiting.walk(now), running, now)
 
-    def _is_behind(self, job):
-        """Note whether a job borrows; return whether it is behind the promised.
+    def _follows_promised(self, job):
+        """Set whether a job borrows; return whether it follows the promised job.
 
-        Where nothing is promised, no job that waits can start or be promised room
-        before something ends, and the order does not matter.
+        If no job has a promised start, no waiting job can start or get a promise before
+        a run ends, and the order does not matter.
         """
         job.is_borrowing = self._quotas.borrows(job.team, job.demand, job.members)
         first = self._waiting.get(self.promised)
--- a/papayapick/placement/starts.py
+++ b/papayapick/placement/starts.py
@@ -1,4 +1,4 @@
-"""Choose which waiting jobs start now."""
+"""Policies that choose which waiting jobs start now."""
 
 import itertools
 from typing import Protocol
@@ -10,35 +10,41 @@
 
 __all__ = ["Backfill", "FirstComeFirstServed", "FirstThatFits", "StartPolicy"]
 
-_LOOKS = 256
+# Maximum number of waiting jobs examined in one pass.
+_MAX_EXAMINED = 256
+# Larger than the rank of any job.
 _NO_RANK = 3
 _NOTHING = Amounts()
 
 
 class StartPolicy(Protocol):
-    """Reserve what starts now."""
+    """Choose the jobs that start now, and reserve their room."""
 
     def choose(self, ledger, waiting, running, now):
-        """Return the jobs to start, reserved, as a list of RunningJob.
+        """Return the jobs to start, with their room reserved.
 
         Parameters
         ----------
         ledger : HostLedger
         waiting : iterable of WaitingJob
-            In their order.
+            In the order of service.
         running : iterable of RunningJob
         now : float
+
+        Returns
+        -------
+        list of RunningJob
         """
 
     def choose_added(self, ledger, added, running, now):
-        """Return what starts of jobs that came since the last choice.
+        """Return which of the jobs added since the last choice start.
 
-        Nothing else has changed, and each comes after one that had to wait.
+        Nothing else has changed since, and each added job follows one that waits.
         """
 
 
 class FirstComeFirstServed:
-    """Start jobs strictly in order: a baseline; one large job blocks all."""
+    """Start jobs strictly in order; a baseline in which a large job blocks others."""
 
     __slots__ = ("_hosts",)
 
@@ -46,7 +52,7 @@
         self._hosts = hosts or BestFit()
 
     def choose(self, ledger, waiting, running, now):
-        """Start from the front until one does not fit."""
+        """Start jobs in order until one does not fit."""
         starts = []
         for job in waiting:
             places = reserve_all(ledger, self._hosts, job)
@@ -56,106 +62,118 @@
         return starts
 
     def choose_added(self, ledger, added, running, now):
-        """Start none: they stand behind one that waits."""
+        """Start none, since each follows a job that does not fit."""
         return []
 
 
 class FirstThatFits:
-    """Start whatever fits: a baseline; small jobs starve the large."""
+    """Start every job that fits; a baseline in which small jobs starve large ones."""
 
-    __slots__ = ("_hosts", "_looks")
+    __slots__ = ("_hosts", "_max_examined")
 
-    def __init__(self, hosts=None, looks=_LOOKS):
+    def __init__(self, hosts=None, max_examined=_MAX_EXAMINED):
         self._hosts = hosts or BestFit()
-        self._looks = looks
+        self._max_examined = max_examined
 
     def choose(self, ledger, waiting, running, now):
-        """Start each job that fits, none before another."""
+        """Start each job that fits, in order."""
         starts = []
-        for job in itertools.islice(waiting, self._looks):
+        for job in itertools.islice(waiting, self._max_examined):
             places = reserve_all(ledger, self._hosts, job)
             if places is not None:
                 starts.append(RunningJob(job, places, now + job.run_seconds))
         return starts
 
     def choose_added(self, ledger, added, running, now):
-        """Start each that fits."""
+        """Start each added job that fits."""
         return self.choose(ledger, added, (), now)
 
 
 class Backfill:
-    """Start in order; promise the first that does not fit a time and hosts.
+    """Start jobs in order, and promise the first that does not fit a start.
 
-    Jobs behind it start where they can't delay it: they are over by the promised
-    time, or use room that it does not need then. As every run is stopped at its
-    bound, the promised time can only come nearer while the hosts stay.
+    Jobs behind it start only if they cannot delay it: they end by the promised time,
+    or use room that it does not need then. As every run is stopped at its maximum run
+    time, the promised start can only become earlier as long as no host is lost.
 
     Parameters
     ----------
     hosts : HostPolicy, optional
-    looks : int
-        Jobs looked at in one pass.
+    max_examined : int
+        Maximum number of waiting jobs examined in one pass.
+
+    Attributes
+    ----------
+    promised : tuple of (str, PromisedStart) or None
+        Name of the job with a promised start, and that start.
     """
 
-    __slots__ = ("_held", "_hosts", "_looks", "_refused", "_waiting_rank", "promised")
+    __slots__ = (
+        "_best_waiting_rank",
+        "_holds",
+        "_hosts",
+        "_max_examined",
+        "_unfit_shapes",
+        "promised",
+    )
 
-    def __init__(self, hosts=None, looks=_LOOKS):
+    def __init__(self, hosts=None, max_examined=_MAX_EXAMINED):
         self._hosts = hosts or BestFit()
-        self._looks = looks
-        self._held = {}
-        self._refused = set()
-        self._waiting_rank = _NO_RANK
+        self._max_examined = max_examined
+        self._holds = {}
+        self._unfit_shapes = set()
+        self._best_waiting_rank = _NO_RANK
         self.promised = None
 
     def choose(self, ledger, waiting, running, now):
-        """Start from the front, then fill behind the first that must wait."""
+        """Start jobs in order, then those that fit behind the first that must wait."""
         starts = []
         self.promised = None
-        self._refused = set()
-        self._waiting_rank = _NO_RANK
+        self._unfit_shapes = set()
+        self._best_waiting_rank = _NO_RANK
         with ledger.lock:
-            self._hold(ledger, {})
+            self._set_holds(ledger, {})
             running = list(running)
-            for job in itertools.islice(waiting, self._looks):
-                places = self._place(ledger, job, now)
+            for job in itertools.islice(waiting, self._max_examined):
+                places = self._reserve(ledger, job, now)
                 if places is None and self.promised is None:
                     places = self._promise(ledger, job, running + starts, now)
                 if places is not None:
                     starts.append(RunningJob(job, places, now + job.run_seconds))
                 if places is None:
-                    self._waiting_rank = min(self._waiting_rank, job.rank)
+                    self._best_waiting_rank = min(self._best_waiting_rank, job.rank)
         return starts
 
     def choose_added(self, ledger, added, running, now):
-        """Fill behind the job that has a promise, or promise one of these."""
+        """Start added jobs behind the promised one, or promise one of them a start."""
         starts = []
         with ledger.lock:
             for job in added:
-                places = self._place(ledger, job, now)
+                places = self._reserve(ledger, job, now)
                 if places is None and self.promised is None:
-                    found = itertools.chain(running, starts)
-                    places = self._promise(ledger, job, found, now)
+                    all_running = itertools.chain(running, starts)
+                    places = self._promise(ledger, job, all_running, now)
                 if places is not None:
                     starts.append(RunningJob(job, places, now + job.run_seconds))
         return starts
 
-    def _place(self, ledger, job, now):
+    def _reserve(self, ledger, job, now):
         is_short = self._is_short(job, now)
-        if job.can_pause and job.rank > self._waiting_rank and not is_short:
-            # It would be paused again for another that waits behind the first.
+        if job.can_pause and job.rank > self._best_waiting_rank and not is_short:
+            # It would be paused again for a waiting job of a more urgent rank.
             return None
         shape = (job.demand, job.members, job.avoid, is_short, self.promised is None)
-        if shape in self._refused:
+        if shape in self._unfit_shapes:
             return None
         places = reserve_all(ledger, self._hosts, job)
         if places is None and is_short:
-            # It gives the held room back before the promised time.
-            held = self._held
-            self._hold(ledger, {})
+            # It ends before the promised time, so it may use the held room.
+            previous_holds = self._holds
+            self._set_holds(ledger, {})
             places = reserve_all(ledger, self._hosts, job)
-            self._hold(ledger, held)
+            self._set_holds(ledger, previous_holds)
         if places is None:
-            self._refused.add(shape)
+            self._unfit_shapes.add(shape)
         return places
 
     def _is_short(self, job, now):
@@ -163,23 +181,24 @@
         return promised is not None and now + job.run_seconds <= promised[1].time
 
     def _promise(self, ledger, job, running, now):
-        found = promise_start(ledger, job, running, now)
-        if found is None and job.avoid:
-            # Without the hosts that it failed on it would wait for ever.
+        """Promise a job a start, or return its places if it fits after all."""
+        start = promise_start(ledger, job, running, now)
+        if start is None and job.avoid:
+            # It fits only if it may use the hosts on which it failed.
             job.avoid = frozenset()
-            places = self._place(ledger, job, now)
+            places = self._reserve(ledger, job, now)
             if places is not None:
                 return places
-            found = promise_start(ledger, job, running, now)
-        if found is not None:
-            self.promised = (job.name, found)
-            self._hold(ledger, found.holds)
+            start = promise_start(ledger, job, running, now)
+        if start is not None:
+            self.promised = (job.name, start)
+            self._set_holds(ledger, start.holds)
         return None
 
-    def _hold(self, ledger, holds):
-        for name in self._held:
+    def _set_holds(self, ledger, holds):
+        for name in self._holds:
             if name not in holds and name in ledger:
                 ledger.hold(name, _NOTHING)
         for name, amounts in holds.items():
             ledger.hold(name, amounts)
-        self._held = holds
+        self._holds = holds
