--- a/papayapick/placement/pace.py
+++ b/papayapick/placement/pace.py
@@ -1,24 +1,26 @@
-"""Pace what fills a worker, so that tasks beside it keep their response time."""
+"""Throttle filler tasks, so that tasks on the same worker keep their response time."""
 
 __all__ = ["Pacer"]
 
-# The figures of a tail are rough and half a second old. Slowing down begins well
-# under the limit; speeding up needs clear distance, else the two would alternate.
-_SLOW_SHARE = 0.8
-_FAST_SHARE = 0.5
-_SLOWER = 0.5
-_FASTER = 1.3
-_LEAST_STEP_SECONDS = 0.45
-# An order without an answer may be carried out after newer ones, nobody knows when:
-# such a run's pace is ordered again and again.
+# Measured tail latencies are rough and half a second old. Fillers are slowed well below
+# the limit, and sped up only far below it, since they would otherwise alternate between
+# the two.
+_SLOW_DOWN_SHARE = 0.8
+_SPEED_UP_SHARE = 0.5
+_SLOW_DOWN_FACTOR = 0.5
+_SPEED_UP_FACTOR = 1.3
+# Minimum time between two changes on a worker.
+_MIN_STEP_SECONDS = 0.45
+# An order without an answer may be carried out at any time, even after newer ones, so
+# the pace of such a run is ordered again at this interval.
 _REPEAT_SECONDS = 2.0
-# What a tail is measured over.
-_FIGURE_SECONDS = 0.5
+# Period over which a tail latency is measured.
+_MEASURE_SECONDS = 0.5
 _FULL = 100
 
 
 class Pacer:
-    """Choose the share of its processors at which each filling task works."""
+    """Choose the pace of each filler task, in percent of its full speed."""
 
     __slots__ = ("_changed_at", "_repeated_at")
 
@@ -27,7 +29,7 @@
         self._repeated_at = {}
 
     def decide(self, room, now):
-        """Return new paces for the fillers of a worker.
+        """Return the paces to order for the fillers of a worker.
 
         Parameters
         ----------
@@ -41,7 +43,7 @@
         """
         if not room.filler_processors:
             return []
-        if now - self._changed_at.get(room.worker, 0.0) < _LEAST_STEP_SECONDS:
+        if now - self._changed_at.get(room.worker, 0.0) < _MIN_STEP_SECONDS:
             return []
         last_repeat = self._repeated_at.get(room.worker, float("-inf"))
         is_repeat_due = now - last_repeat >= _REPEAT_SECONDS
@@ -58,19 +60,20 @@
         for run in room.runs.values():
             if not run.is_filler or run.percent is None:
                 continue
-            # Read once: answers to orders change it without the owner's lock.
-            before = run.pace
-            pace = _wanted_pace(before, load, is_serving)
+            # Read once, since answers to orders change it without the owner's lock.
+            current = run.pace
+            pace = _wanted_pace(current, load, is_serving)
             is_repeated = is_repeat_due and run.has_lost_pace
-            if pace is not None and (pace != before or is_repeated):
+            if pace is not None and (pace != current or is_repeated):
                 changes.append((run, pace))
         return changes
 
     @staticmethod
     def _load(room):
-        """Return the worst tail as a share of its limit; 0 where none serves.
+        """Return the highest tail latency as a share of its limit, or None.
 
-        None where it is not known, as a tail was not measured and no other is high.
+        It is 0 without serving tasks, and None if a tail latency was not measured and
+        none of the others is high.
         """
         shares = [
             _tail_share(run)
@@ -78,35 +81,35 @@
             if run.tail_limit and run.percent == _FULL
         ]
         worst = max((share for share in shares if share is not None), default=0.0)
-        return None if None in shares and worst <= _SLOW_SHARE else worst
+        return None if None in shares and worst <= _SLOW_DOWN_SHARE else worst
 
 
 def _tail_share(run):
-    """Return the tail of a run at work as a share of its limit, or None.
+    """Return the tail latency of a serving run as a share of its limit, or None.
 
-    None where it was not measured. In the first half second at work a figure tells of a
-    part of it only: a low one, or 0, would have fillers sped up beside a task of which
-    nothing is known. A high one is true of any part.
+    It is None if it was not measured. In the first half second of service, the figure
+    covers a part of the period only. A low figure, or 0, is then ignored, since it
+    would speed up fillers beside a task of unknown latency; a high figure is valid.
     """
     if run.figure is None:
         return None
     share = run.figure / 1000 / run.tail_limit
-    is_whole = run.percent_at - run.moved_at >= _FIGURE_SECONDS
-    return share if is_whole or share > _SLOW_SHARE else None
+    is_full_period = run.percent_at - run.moved_at >= _MEASURE_SECONDS
+    return share if is_full_period or share > _SLOW_DOWN_SHARE else None
 
 
 def _wanted_pace(pace, load, is_serving):
-    """Return the percent to order, or None where there is nothing to order yet."""
+    """Return the pace to order in percent, or None to order none yet."""
     if pace is None:
         return _first_pace(load, is_serving)
     return _next_pace(pace, load)
 
 
 def _first_pace(load, is_serving):
-    """Return the percent for a run whose pace is not known, or None to leave it.
+    """Return the pace for a run whose pace is not known, or None to leave it.
 
-    A load of None leaves each pace as it is. Beside a high tail only the least is sure
-    not to raise it.
+    A load of None leaves the pace. Beside a high tail latency, only a pace of 0 is
+    certain not to raise it further.
 
     Examples
     --------
@@ -119,14 +122,15 @@
         return _FULL
     if load is None:
         return None
-    if load > _SLOW_SHARE:
+    if load > _SLOW_DOWN_SHARE:
         return 0
-    # Most fillers are at full when their owner dies: anything less would slow them all.
-    return _FULL if load < _FAST_SHARE else None
+    # Most fillers run at full pace when their owner fails. Any lower pace would slow
+    # all of them at each takeover.
+    return _FULL if load < _SPEED_UP_SHARE else None
 
 
 def _next_pace(pace, load):
-    """Return the next percent.
+    """Return the next pace in percent; a load of None leaves it.
 
     Examples
     --------
@@ -137,9 +141,9 @@
     """
     if load is None:
         return pace
-    if load > _SLOW_SHARE:
-        slower = int(pace * _SLOWER)
+    if load > _SLOW_DOWN_SHARE:
+        slower = int(pace * _SLOW_DOWN_FACTOR)
         return slower if slower >= 10 else 0
-    if load < _FAST_SHARE and pace < _FULL:
-        return min(_FULL, max(10, int(pace * _FASTER)))
+    if load < _SPEED_UP_SHARE and pace < _FULL:
+        return min(_FULL, max(10, int(pace * _SPEED_UP_FACTOR)))
     return pace
--- a/papayapick/placement/pauses.py
+++ b/papayapick/placement/pauses.py
@@ -1,28 +1,31 @@
-"""Choose which deferred jobs to checkpoint so that urgent ones fit."""
+"""Choose the deferred jobs to checkpoint so that urgent ones fit."""
 
 from papayapick.ledger import Amounts
 
 __all__ = ["choose_pauses"]
 
 _NOTHING = Amounts()
-_MARGIN_SECONDS = 300.0
+# Minimum slack of a paused job: its deadline less its whole run time.
+_MIN_SLACK_SECONDS = 300.0
 
 
 def choose_pauses(ledger, quotas, claims, running, now):
-    """Return jobs whose pause makes room for jobs that have a claim to it.
+    """Return the jobs to pause to make room for the jobs that have a claim to it.
 
-    An urgent job may have any deferred job paused, other jobs within their quota
-    only those of teams that are over theirs. A job is paused only where it could
-    still run whole before its deadline, so that deferred work arrives even if its
-    checkpoint is lost. Each member takes the host where fewest jobs are paused,
-    those with the latest deadlines first; a paused job frees all its members' room.
+    For an urgent job any deferred job may be paused; for other jobs, which are within
+    the quota of their team, only jobs of teams that exceed theirs. A job is paused only
+    if it could still run from the start before its deadline, so that it meets the
+    deadline even if its checkpoint is lost. Each member is placed on the host on which
+    fewest jobs must be paused, and jobs with the latest deadlines are paused first. A
+    paused job frees the room of all its members.
 
     Parameters
     ----------
     ledger : HostLedger
     quotas : QuotaBook
     claims : iterable of WaitingJob
-        In their order; the first that no pause can help ends the search.
+        In the order of service. The search ends at the first for which pauses cannot
+        make room.
     running : iterable of RunningJob
     now : float
 
@@ -30,55 +33,62 @@
     -------
     list of RunningJob
     """
-    room = _Room(ledger, quotas, running, now)
+    plan = _PausePlan(ledger, quotas, running, now)
     chosen = []
     for job in claims:
-        found = room.make(job)
-        if found is None:
+        pauses = plan.make_room(job)
+        if pauses is None:
             break
-        chosen += found
+        chosen += pauses
     return chosen
 
 
-def _can_pause(one, now):
-    job = one.job
+def _can_pause(run, now):
+    job = run.job
     slack = job.deadline - now - job.run_seconds
-    return job.can_pause and not one.is_given_up and slack > _MARGIN_SECONDS
+    return job.can_pause and not run.is_given_up and slack > _MIN_SLACK_SECONDS
 
 
-class _Room:
-    """Count what is free, and would be, on each host."""
+class _PausePlan:
+    """Jobs chosen to pause, and the free room of each host once they are paused."""
 
-    __slots__ = ("_free", "_ledger", "_on_host", "_paused", "_quotas", "_returned")
+    __slots__ = (
+        "_free",
+        "_ledger",
+        "_pausable_by_host",
+        "_paused",
+        "_quotas",
+        "_released_by_team",
+    )
 
     def __init__(self, ledger, quotas, running, now):
         self._ledger = ledger
         self._quotas = quotas
-        self._returned = {}
+        self._released_by_team = {}
         self._free = {name: ledger.free(name) for name in ledger.open_hosts()}
-        self._on_host = {}
+        self._pausable_by_host = {}
         self._paused = set()
-        found = sorted(running, key=lambda one: one.job.deadline, reverse=True)
-        for one in found:
-            if one.is_pausing:
-                # Its room comes free already.
-                self._pause(one)
-            elif _can_pause(one, now):
-                for place in one.places:
-                    self._on_host.setdefault(place.host, []).append(one)
-
-    def make(self, job):
-        """Return what to pause for a job, or None where no pause helps."""
-        before, paused = dict(self._free), set(self._paused)
-        returned = dict(self._returned)
+        latest_first = sorted(running, key=lambda run: run.job.deadline, reverse=True)
+        for run in latest_first:
+            if run.is_pausing:
+                # Its room is about to become free.
+                self._pause(run)
+            elif _can_pause(run, now):
+                for place in run.places:
+                    self._pausable_by_host.setdefault(place.host, []).append(run)
+
+    def make_room(self, job):
+        """Return the jobs to pause for a job, or None if pauses cannot make room."""
+        free, paused = dict(self._free), set(self._paused)
+        released = dict(self._released_by_team)
         chosen = []
         for _ in range(job.members):
-            found = self._place(job)
-            if found is None:
-                self._free, self._paused = before, paused
-                self._returned = returned
+            pauses = self._place(job)
+            if pauses is None:
+                self._free, self._paused = free, paused
+                self._released_by_team = released
                 return None
-            chosen += found
+            chosen += pauses
         return chosen
 
     def _place(self, job):
@@ -86,49 +96,49 @@
         for name in self._free:
             if name in job.avoid:
                 continue
-            found = self._needed(name, job, best)
-            if found is not None and (best is None or len(found) < len(best)):
-                best, host = found, name
+            pauses = self._needed_pauses(name, job, best)
+            if pauses is not None and (best is None or len(pauses) < len(best)):
+                best, host = pauses, name
                 if not best:
                     break
         if best is None:
             return None
-        for one in best:
-            self._pause(one)
+        for run in best:
+            self._pause(run)
         self._free[host] = self._free[host] - job.demand
         return best
 
-    def _needed(self, name, job, best):
+    def _needed_pauses(self, name, job, best):
         demand = job.demand
         free = self._free[name]
-        found = []
-        for one in self._on_host.get(name, ()):
+        pauses = []
+        for run in self._pausable_by_host.get(name, ()):
             if self._fits(name, free, demand):
                 break
-            if best is not None and len(found) + 1 >= len(best):
+            if best is not None and len(pauses) + 1 >= len(best):
                 return None
-            if self._may_pause(one, job) and one not in found:
-                found.append(one)
-                for place in one.places:
+            if self._may_pause(run, job) and run not in pauses:
+                pauses.append(run)
+                for place in run.places:
                     if place.host == name:
-                        free = free + one.job.demand
-        return found if self._fits(name, free, demand) else None
+                        free = free + run.job.demand
+        return pauses if self._fits(name, free, demand) else None
 
-    def _may_pause(self, one, job):
-        if one.job.name in self._paused:
+    def _may_pause(self, run, job):
+        if run.job.name in self._paused:
             return False
-        returned = self._returned.get(one.job.team, _NOTHING)
-        return job.is_urgent or self._quotas.is_over(one.job.team, returned)
+        released = self._released_by_team.get(run.job.team, _NOTHING)
+        return job.is_urgent or self._quotas.is_over(run.job.team, released)
 
     def _fits(self, name, free, demand):
         return demand.fits_in(self._ledger.usable(name, free, demand))
 
-    def _pause(self, one):
-        self._paused.add(one.job.name)
-        returned = self._returned.get(one.job.team, _NOTHING)
-        for _ in one.places:
-            returned = returned + one.job.demand
-        self._returned[one.job.team] = returned
-        for place in one.places:
+    def _pause(self, run):
+        self._paused.add(run.job.name)
+        released = self._released_by_team.get(run.job.team, _NOTHING)
+        for _ in run.places:
+            released = released + run.job.demand
+        self._released_by_team[run.job.team] = released
+        for place in run.places:
             if place.host in self._free:
-                self._free[place.host] = self._free[place.host] + one.job.demand
+                self._free[place.host] = self._free[place.host] + run.job.demand
