--- a/papayapick/placement/preemption.py
+++ b/papayapick/placement/preemption.py
@@ -1,8 +1,8 @@
-"""Make room for urgent steps by stopping patient tasks that lose little.
+"""Preempt tasks of less urgent queues that lose little to make room for urgent steps.
 
-Answers the load in which long tasks of patient queues fill the workers as urgent
-jobs come in a burst: these would wait for seconds for the end of a long task, at
-several times their own length. A gang would wait until enough of them end at once.
+Guards against workers that are full of long tasks of less urgent queues when a burst of
+urgent jobs arrives: these would wait for seconds until a long task ends, several times
+their own run time. A gang would wait until enough long tasks end at once.
 """
 
 import collections
@@ -13,17 +13,19 @@
 
 __all__ = ["StoppableRuns", "choose_victims", "may_preempt"]
 
-# Room that is about to be free is waited for; a stop itself takes a few tenths.
-_PATIENCE_SECONDS = 0.25
-# One round of stops at a time: their room is free when their ends are listed.
+# A step first waits this long for room that is about to become free, since a stop
+# itself takes a few tenths of a second.
+_WAIT_SECONDS = 0.25
+# Minimum time between two preemptions for a step: the room of the stopped runs is free
+# only when their ends are reported.
 _ROUND_SECONDS = 0.8
-# More than these to place one task throws away more than it gains. One that needs
-# several accelerators may stop as many tasks that have one each.
-_VICTIMS_LIMIT = 3
+# Stopping more runs to place one task costs more than it gains. A task that needs
+# several accelerators may stop as many runs with one accelerator each.
+_MAX_VICTIMS = 3
 
 
 def may_preempt(step, now):
-    """Return whether a waiting step has waited long enough to stop others.
+    """Return whether a step has waited long enough to preempt runs of others.
 
     Parameters
     ----------
@@ -33,41 +35,41 @@
     if step.step.is_filler or not step.waiting:
         return False
     if step.step.is_gang and len(step.waiting) < len(step.tasks):
-        # Its other members have not ended yet.
+        # Some members of the gang have not ended yet.
         return False
-    since = max(step.ready_at + _PATIENCE_SECONDS, step.preempted_at + _ROUND_SECONDS)
+    since = max(step.ready_at + _WAIT_SECONDS, step.preempted_at + _ROUND_SECONDS)
     return now >= since
 
 
 class StoppableRuns:
-    """Hold which runs may be stopped, for one look at all steps that wait.
+    """Runs that may be stopped, collected once for all steps that wait.
 
-    Found anew for each step, they would cost a look at all runs of all workers for
-    each of the thousands of steps that wait in an overload, ten times a second.
+    Collecting them for each step would examine all runs of all workers for each of the
+    thousands of steps that wait under overload, ten times a second.
 
     Parameters
     ----------
     rooms : Rooms
     priority_of : callable
-        Takes a run; returns the priority of its queue where the run may be
-        stopped, or None.
+        Takes a run; returns the priority of its queue if the run may be stopped, else
+        None.
     """
 
     __slots__ = ("_below", "_by_room")
 
     def __init__(self, rooms, priority_of):
-        # Those of each worker with their priorities, the largest first: fewer are
+        # Runs and their priorities by worker, the largest run first, so that fewer are
         # stopped.
         self._by_room = {}
-        # Those below a priority, by worker.
+        # Results of ``below``.
         self._below = {}
         for room in rooms:
-            found = [] if room.has_unknown_demand else _stoppable(room, priority_of)
-            if found:
-                self._by_room[room] = found
+            runs = [] if room.has_unknown_demand else _stoppable(room, priority_of)
+            if runs:
+                self._by_room[room] = runs
 
     def below(self, priority):
-        """Return the runs of less urgent queues.
+        """Return the runs of queues that are less urgent than a priority.
 
         Parameters
         ----------
@@ -76,39 +78,42 @@
         Returns
         -------
         dict of WorkerRoom to list of Run
-            Without the workers that have none.
+            Contains only workers that have such runs.
         """
         if priority not in self._below:
             self._below[priority] = self._find_below(priority)
         return self._below[priority]
 
     def _find_below(self, priority):
-        found = {
+        below = {
             room: [run for run, other in runs if other > priority]
             for room, runs in self._by_room.items()
         }
-        return {room: runs for room, runs in found.items() if runs}
+        return {room: runs for room, runs in below.items() if runs}
 
 
 def _stoppable(room, priority_of):
-    found = [
+    candidates = [
         (run, priority_of(run))
         for run in room.runs.values()
         if run.phase == RunPhase.RUNNING
     ]
-    found = [(run, priority) for run, priority in found if priority is not None]
-    found.sort(
-        key=lambda one: (one[0].demand.accelerators, one[0].demand.processors),
+    candidates = [
+        (run, priority) for run, priority in candidates if priority is not None
+    ]
+    candidates.sort(
+        key=lambda entry: (entry[0].demand.accelerators, entry[0].demand.processors),
         reverse=True,
     )
-    return found
+    return candidates
 
 
 def choose_victims(step, rooms, allowed, stoppable):
-    """Return runs whose end makes room for one waiting task, or for a whole gang.
+    """Return the runs to stop to make room for one waiting task or a whole gang.
 
-    Only tasks that save their progress are stopped, and a stop saves it too, so that
-    little is lost; members of gangs would break the others, and lasting tasks serve.
+    Only tasks with checkpoints are stopped. A stop takes a checkpoint too, so little
+    work is lost. Members of gangs are not stopped, as their gang would fail, and
+    lasting tasks are not, as they serve requests.
 
     Parameters
     ----------
@@ -120,14 +125,14 @@
     Returns
     -------
     list of Run
-        Empty where room can't be made so.
+        Empty if stops cannot make room.
     """
-    plan = _Plan(step, allowed, stoppable.below(step.job.queue.priority))
+    plan = _PreemptionPlan(step, allowed, stoppable.below(step.job.queue.priority))
     if not plan.may_stop_any():
         return []
     members, eligible = 1, plan.eligible(rooms)
     if step.step.is_gang:
-        # Each member looks at all of them.
+        # Each member of the gang iterates over all of them.
         members, eligible = len(step.tasks), list(eligible)
     for _ in range(members):
         if not plan.add_task(eligible):
@@ -135,22 +140,22 @@
     return plan.victims
 
 
-class _Plan:
-    """Hold which runs are to be stopped, and where tasks of the step are to go."""
+class _PreemptionPlan:
+    """Runs to stop, and the workers planned for the tasks of the step."""
 
-    __slots__ = ("_allowed", "_step", "_stoppable", "_tasks", "victims")
+    __slots__ = ("_allowed", "_step", "_stoppable", "_planned_tasks", "victims")
 
     def __init__(self, step, allowed, stoppable):
         self._step = step
         self._allowed = allowed
         self._stoppable = stoppable
-        self._tasks = collections.Counter()
+        self._planned_tasks = collections.Counter()
         self.victims = []
 
     def may_stop_any(self):
-        """Return whether a stop may help; without a look at all other workers.
+        """Return whether stops may make room, examining only workers with such runs.
 
-        For a single task that is so only where a worker has room after some stops.
+        For a single task, some worker must have room after stops.
         """
         useful = (room for room in self._stoppable if self._may_use(room))
         if self._step.step.is_gang:
@@ -158,7 +163,7 @@
         return any(self._victims(room) for room in useful)
 
     def eligible(self, rooms):
-        """Yield the workers to which a task of the step may go once they have room."""
+        """Yield the workers that may run a task of the step once they have room."""
         able = rooms.able(self._step.step)
         return (room for room in able if self._may_use(room))
 
@@ -166,14 +171,14 @@
         if not room.is_open or room.has_unknown_demand or room.is_failing:
             return False
         if room.hold is not None and room.hold.step_key != self._step.key:
-            # Its room goes to another step, however much is made.
+            # The room of this worker is held for another step.
             return False
         if not may_run(room, self._step.step, self._allowed):
             return False
-        return not _has_failed_there(self._step, room.worker)
+        return not _all_failed_on(self._step, room.worker)
 
     def add_task(self, eligible):
-        """Find room for one task more; return whether there is any."""
+        """Plan a worker for one more task; return whether there is one."""
         best = chosen = None
         for room in eligible:
             victims = self._victims(room)
@@ -181,18 +186,18 @@
                 continue
             best, chosen = victims, room
             if not victims:
-                # Nothing is better than no stop at all.
+                # No worker can need fewer stops.
                 break
         if best is None:
             return False
-        self._tasks[chosen] += 1
+        self._planned_tasks[chosen] += 1
         self.victims += best
         return True
 
     def _victims(self, room):
-        """Return what must be stopped on a worker for one task more, or None."""
+        """Return the runs to stop on a worker to place one more task, or None."""
         limit = self._step.step.tasks_per_worker
-        planned = self._tasks[room]
+        planned = self._planned_tasks[room]
         if limit and planned + room.step_counts.get(self._step.key, 0) >= limit:
             return None
         demand = self._step.step.room_demand
@@ -211,15 +216,16 @@
         return victims if demand.fits_in(free) else None
 
     def _candidates(self, room, demand):
-        found = self._stoppable.get(room, ())
-        found = [run for run in found if run not in self.victims]
-        return found[: max(_VICTIMS_LIMIT, demand.accelerators)]
+        candidates = self._stoppable.get(room, ())
+        candidates = [run for run in candidates if run not in self.victims]
+        return candidates[: max(_MAX_VICTIMS, demand.accelerators)]
 
 
-def _has_failed_there(step, worker):
-    """Return whether no waiting task of a step would go to a worker.
+def _all_failed_on(step, worker):
+    """Return whether all waiting tasks of a step are excluded from a worker.
 
-    What makes room for one that failed there is stopped in vain, round after round.
+    None of them would be placed there, so runs would be stopped in vain, round after
+    round. Lasting tasks are not excluded from workers on which they failed.
     """
     if step.step.is_lasting:
         return False
