--- a/papayapick/placement/progress.py
+++ b/papayapick/placement/progress.py
@@ -1,8 +1,8 @@
-"""Find runs that stand still, or work far slower than their like.
+"""Detect runs that have stalled or are much slower than the other runs of their step.
 
-Answers the load in which some workers stall, slow down or fail what they start while
-their health is good. Short urgent tasks have half their own length to spare: one that
-is left on such a worker is late for certain, and best fit would send more there.
+Guards against workers that stall, slow down or fail the tasks they start while they
+report good health. The slack of a short urgent task is half its run time: a task left
+on such a worker is certainly late, and best fit would place more tasks there.
 """
 
 import statistics
@@ -22,43 +22,45 @@
     "stalled_runs",
 ]
 
-# A task of a minute moves by a percent in 0.6 s.
+# A run without progress for this time has stalled: the progress of a task of a minute
+# grows by one percent in 0.6 s.
 _STALL_SECONDS = 0.7
-# Restoring saved progress takes up to 0.6 s, in which nothing moves.
+# Restoring a checkpoint takes up to 0.6 s, during which there is no progress.
 _RESTORE_SECONDS = 0.8
-# A run that did not move for so long is looked at again soon.
-_DOUBT_SECONDS = 0.3
-# A task is moved so often at most: one that takes many minutes moves by a percent in
-# seconds, and would be taken for one that stands still wherever it is.
+# The worker of a run without progress for this time is polled again soon.
+_POSSIBLE_STALL_SECONDS = 0.3
+# Maximum number of times that a task is moved. A task that takes many minutes gains one
+# percent of progress in seconds, so it would seem to have stalled on any worker.
 REPLACED_LIMIT = 2
-# Tasks of a step differ by a factor of two as a rule; this is past it.
+# Above the usual variation of run times within a step, which is a factor of two.
 _SLOW_FACTOR = 2.5
-# Within this of the usual time a run shows that its worker is not slow.
-_SOUND_FACTOR = 1.6
-# So many runs that lag, and none that was sound for so long, make a worker a slow one.
-_SLOW_RUNS = 2
-_SOUND_SECONDS = 0.8
-# So many runs of the same step must be known to tell what is usual.
-_LEAST_KNOWN = 2
-# Less tells little: lists are 10 ms old and percents are whole.
-_LEAST_SECONDS = 0.35
-_LEAST_PERCENT = 2
-# A stop, its list and the new start.
+# A run within this factor of the usual time shows that its worker is not slow.
+_NORMAL_FACTOR = 1.6
+# A worker is slow with this number of slow runs and no normal run for this time.
+_MIN_SLOW_RUNS = 2
+_NO_NORMAL_SECONDS = 0.8
+# Minimum number of runs of a step from which the usual time is derived.
+_MIN_KNOWN_RUNS = 2
+# With less elapsed time or progress the projection is too inaccurate: reports are 10 ms
+# old, and percents are integers.
+_MIN_ELAPSED_SECONDS = 0.35
+_MIN_PERCENT = 2
+# Duration of a stop, the report of its end, and the new start.
 _MOVE_SECONDS = 0.4
-# A worker on which such a run was found is used last for so long.
+# A worker on which a stalled or slow run was found is used last for this time.
 SUSPECT_SECONDS = 3.0
-# Ends as failed in a row, of different jobs, after which a worker is suspected: of
-# sound workers one run in fifty fails.
+# Consecutive failed runs, of different jobs, after which a worker is suspected. On
+# healthy workers one run in fifty fails.
 _FAILURES_IN_A_ROW = 2
-# Less progress than this share tells nothing of how long a run takes.
-_LEAST_PROGRESS = 0.05
-# A stop is carried out, and its end listed, within this time.
+# With a smaller share done, progress does not indicate how long a run takes.
+_MIN_DONE_SHARE = 0.05
+# Time within which a stop is carried out and its end reported.
 _STOP_SECONDS = 0.25
 _FULL = 100
 
 
 def stalled_runs(step):
-    """Return the runs of a step that stand still.
+    """Return the runs of a step that have stalled.
 
     Parameters
     ----------
@@ -67,13 +69,13 @@
     Returns
     -------
     list of Run
-        Of a gang none: its members wait for each other and end together.
+        Empty for a gang, whose members wait for each other and end together.
     """
-    return [run for run in _judged_runs(step) if _is_stalled(run)]
+    return [run for run in _runs_reporting_progress(step) if _is_stalled(run)]
 
 
 def compare_runs(step):
-    """Compare the runs of a step with their like on other workers.
+    """Compare the runs of a step with those on other workers.
 
     Parameters
     ----------
@@ -81,28 +83,28 @@
 
     Returns
     -------
-    slow, sound : list of Run
-        Those that are far slower, with enough left to be worth a move, and those at
-        the usual speed. One that is slow may be a task that is longer than the
-        others; see ``SlowWorkerDetector``.
+    slow, normal : list of Run
+        Runs that are much slower, with enough time left to be worth a move, and runs at
+        the usual speed. A slow run may also be a task that is longer than the others;
+        see ``SlowWorkerDetector``.
     """
-    slow, sound = [], []
-    runs = _judged_runs(step)
+    slow, normal = [], []
+    runs = _runs_reporting_progress(step)
     for run in runs:
         whole = _projected_seconds(run)
         usual = _usual_seconds(step, run, runs)
         if whole is None or usual is None:
             continue
-        rest = whole * (_FULL - run.percent) / _FULL
-        if whole < _SOUND_FACTOR * usual:
-            sound.append(run)
-        elif whole > _SLOW_FACTOR * usual and rest > usual + _MOVE_SECONDS:
+        remaining = whole * (_FULL - run.percent) / _FULL
+        if whole < _NORMAL_FACTOR * usual:
+            normal.append(run)
+        elif whole > _SLOW_FACTOR * usual and remaining > usual + _MOVE_SECONDS:
             slow.append(run)
-    return slow, sound
+    return slow, normal
 
 
 def ended_within_usual_time(step, run, now):
-    """Return whether a run that has just ended took no longer than is usual.
+    """Return whether a run that has just ended took about the usual time or less.
 
     Parameters
     ----------
@@ -111,23 +113,23 @@
     now : float
     """
     known = step.done_seconds
-    if run.is_resumed or len(known) < _LEAST_KNOWN:
+    if run.is_resumed or len(known) < _MIN_KNOWN_RUNS:
         return False
-    return run.worked_seconds(now) < _SOUND_FACTOR * statistics.median(known)
+    return run.worked_seconds(now) < _NORMAL_FACTOR * statistics.median(known)
 
 
-def _judged_runs(step):
-    return [run for run in step.active_runs() if _is_judged(run)]
+def _runs_reporting_progress(step):
+    return [run for run in step.active_runs() if _reports_progress(run)]
 
 
-def _is_judged(run):
+def _reports_progress(run):
     is_at_work = run.phase == RunPhase.RUNNING and run.was_seen
     return is_at_work and run.is_measured and run.percent < _FULL
 
 
 def _is_stalled(run):
-    # The first list shows only where a run begins: a worker that carries out its order
-    # late, or was silent since, would seem to have stood still all that time.
+    # The first report only shows the initial progress. A worker that carried out the
+    # start order late, or did not report since, would seem to have stalled meanwhile.
     if not run.was_seen_again:
         return False
     limit = _STALL_SECONDS + (_RESTORE_SECONDS if run.is_resumed else 0.0)
@@ -135,45 +137,46 @@
 
 
 def may_be_stalled(runs):
-    """Return whether a worker should be looked at again soon.
+    """Return whether one of a worker's runs may have stalled.
 
-    Waiting calls return with an end or after 0.6 s; a second look half as long after
-    that finds a run that stands still 0.4 s sooner.
+    The worker is then polled again soon. A long poll returns when a run ends or after
+    0.6 s; a second poll of half that time detects a stalled run 0.4 s sooner.
 
     Parameters
     ----------
     runs : iterable of Run
-        All that it runs.
+        All runs of the worker.
     """
     return any(
-        run.percent_at - run.moved_at >= _DOUBT_SECONDS
+        run.percent_at - run.moved_at >= _POSSIBLE_STALL_SECONDS
         for run in runs
-        if _is_judged(run)
+        if _reports_progress(run)
     )
 
 
 def _usual_seconds(step, run, runs):
-    """Return what the like of a run take on other workers, or None."""
+    """Return the median time of a step's runs on other workers, or None."""
     others = [_projected_seconds(one) for one in runs if one.worker != run.worker]
     known = [one for one in others if one is not None] + step.done_seconds
-    return statistics.median(known) if len(known) >= _LEAST_KNOWN else None
+    return statistics.median(known) if len(known) >= _MIN_KNOWN_RUNS else None
 
 
 def _projected_seconds(run):
-    """Return what a run will have taken in all, going by its progress, or None."""
+    """Return the whole run time projected from the progress of a run, or None."""
     elapsed = run.worked_seconds(run.percent_at)
-    is_early = elapsed < _LEAST_SECONDS or run.percent < _LEAST_PERCENT
+    is_early = elapsed < _MIN_ELAPSED_SECONDS or run.percent < _MIN_PERCENT
     if run.is_resumed or is_early:
         return None
     return elapsed * _FULL / run.percent
 
 
 def projected_remaining_seconds(step, run, now):
-    """Return how long a run may still take, going by its progress.
+    """Return the remaining time of a run, projected from its progress.
 
-    A run that was taken over half done did not do that half since this owner knows of
-    it: it would seem to end at once, and after a takeover advice would be asked on the
-    next step of each running job, before what waits.
+    For a run that was taken over with some progress, this owner does not know how long
+    that progress took. Attributed to the time since the takeover, it would make the run
+    seem to end at once, and advice would be requested for the next step of each running
+    job, ahead of the steps that wait.
 
     Parameters
     ----------
@@ -184,25 +187,25 @@
     Returns
     -------
     float
-        Seconds; negative where it should have ended.
+        Seconds; negative if the run should have ended already.
     """
     if run.since is None:
         return step.step.estimate_seconds
     done = run.percent / _FULL
     if run.is_resumed:
         return step.step.estimate_seconds * (1 - done) - (now - run.percent_at)
-    if done <= _LEAST_PROGRESS:
+    if done <= _MIN_DONE_SHARE:
         return step.step.estimate_seconds - run.worked_seconds(now)
     return run.worked_seconds(run.percent_at) / done - run.worked_seconds(now)
 
 
 def remaining_seconds(step, run, now):
-    """Return the seconds until the room of a run is free, or None if that is not known.
+    """Return the seconds until the room of a run is free, or None if not known.
 
     Parameters
     ----------
     step : StepState or None
-        None where its job is over or forgotten.
+        None if its job has ended or is no longer known.
     run : Run
     now : float
     """
@@ -214,25 +217,26 @@
 
 
 class SlowWorkerDetector:
-    """Tell a slow worker from a long task: on a slow worker all that runs lags.
+    """Distinguish a slow worker, on which all runs are slow, from a long task.
 
-    Moved for itself alone, a task that is three times as long as its like loses what
-    it has done, and its caller waits for it.
+    If a single slow run were enough to move it, a task three times as long as others of
+    its step would lose its progress, and its caller would wait longer.
     """
 
-    __slots__ = ("_slow", "_sound")
+    __slots__ = ("_normal", "_slow")
 
     def __init__(self):
-        # By worker: when each slow run was last seen there, and when any sound one.
+        # By worker: the last time at which each slow run was seen, and the last time at
+        # which any normal run was.
         self._slow = {}
-        self._sound = {}
+        self._normal = {}
 
     def note_normal(self, run, now):
-        """Take in a run at the usual speed."""
-        self._sound[run.worker] = now
+        """Record a run at the usual speed."""
+        self._normal[run.worker] = now
 
     def note_slow(self, run, now):
-        """Take in a slow run; return whether its worker is slow.
+        """Record a slow run; return whether its worker is slow.
 
         Parameters
         ----------
@@ -243,17 +247,17 @@
         seen[run.name] = now
         for name in [name for name, at in seen.items() if now - at > SUSPECT_SECONDS]:
             del seen[name]
-        since_sound = now - self._sound.get(run.worker, float("-inf"))
-        return len(seen) >= _SLOW_RUNS and since_sound > _SOUND_SECONDS
+        since_normal = now - self._normal.get(run.worker, float("-inf"))
+        return len(seen) >= _MIN_SLOW_RUNS and since_normal > _NO_NORMAL_SECONDS
 
     def forget(self, worker):
-        """Drop what is known of a worker."""
+        """Delete the records of a worker."""
         self._slow.pop(worker, None)
-        self._sound.pop(worker, None)
+        self._normal.pop(worker, None)
 
 
 class FailingWorkerDetector:
-    """Notice workers that fail what they start, whichever job it is of."""
+    """Detect workers on which runs of different jobs fail one after the other."""
 
     __slots__ = ("_failed_jobs",)
 
@@ -261,23 +265,23 @@
         self._failed_jobs = {}
 
     def note_end(self, worker, job, is_failed):
-        """Take in an end; return whether the worker is to be suspected.
+        """Record the end of a run; return whether its worker is to be suspected.
 
         Parameters
         ----------
         worker, job : str
         is_failed : bool
-            False for one that ended as done.
+            False for a run that ended as done.
         """
         if not is_failed:
             self._failed_jobs.pop(worker, None)
             return False
-        # A job that can never be done fails everywhere, and counts once here.
+        # A job that fails on every worker counts once here.
         jobs = self._failed_jobs.setdefault(worker, set())
         if len(jobs) < _FAILURES_IN_A_ROW:
             jobs.add(job)
         return len(jobs) >= _FAILURES_IN_A_ROW
 
     def forget(self, worker):
-        """Drop what is known of a worker."""
+        """Delete the record of a worker."""
         self._failed_jobs.pop(worker, None)
