--- a/papayapick/placement/pace.py
+++ b/papayapick/placement/pace.py
@@ -41,7 +41,7 @@
         list of tuple of (Run, int)
             Run and percent.
         """
-        if not room.filler_processors:
+        if not room.filler_runs:
             return []
         if now - self._changed_at.get(room.worker, 0.0) < _MIN_STEP_SECONDS:
             return []
--- a/papayapick/placement/rooms.py
+++ b/papayapick/placement/rooms.py
@@ -37,7 +37,7 @@
         Run by task key and attempt, until its end is certain.
     step_counts : dict
         Number of its runs by step key.
-    filler_processors : int
+    filler_runs : int
         Number of its fillers, which reserve no processors.
     """
 
@@ -45,7 +45,7 @@
         "_suspected_until",
         "_unknown_demands",
         "accelerators",
-        "filler_processors",
+        "filler_runs",
         "hold",
         "is_draining",
         "is_failing",
@@ -64,7 +64,7 @@
         self.is_draining = False
         self.runs = {}
         self.step_counts = {}
-        self.filler_processors = 0
+        self.filler_runs = 0
         self.hold = None
         # Number of runs of jobs that have ended or are no longer known. Their demand is
         # not known, so no task is placed on the worker until they have ended.
@@ -150,7 +150,7 @@
         if not self.step_counts[key]:
             del self.step_counts[key]
         if run.is_filler:
-            self.filler_processors += sign
+            self.filler_runs += sign
 
 
 class Rooms:
@@ -324,7 +324,7 @@
         if step.is_filler:
             # Fillers use the processors that other runs leave unused, here 4000
             # millicores each, and disturb runs with a limit on their tail latency.
-            unused_processors = room.processors - 4000 * room.filler_processors
+            unused_processors = room.processors - 4000 * room.filler_runs
             return (is_avoided, is_far, room.serving_runs > 0, -unused_processors)
         # Best fit keeps the free room in large pieces, so that large tasks fit. On
         # workers with accelerators, these are the amount that large tasks lack. Memory
--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -39,7 +39,7 @@
     def is_paced(self, link):
         """Return whether a worker has tasks that others beside them may disturb."""
         room = self._owner.rooms.get(link.worker)
-        return room is not None and room.filler_processors and room.serving_runs
+        return room is not None and room.filler_runs and room.serving_runs
 
     def is_doubtful(self, link):
         """Return whether a run of a worker seems to stand still."""
