--- a/papayapick/placement/holds.py
+++ b/papayapick/placement/holds.py
@@ -1,11 +1,11 @@
-"""Hold room that is coming free for a task that smaller ones would keep out.
-
-Answers the load in which a task needs most of a worker, or a gang needs room for all
-its members at once, and few workers may run it. Each end there makes room for a smaller
-task that waits behind it, so that the large one's turn never comes; what was stopped to
-make room for it takes that room back. Here the first in the order of service names the
-workers where it will fit soonest. Those behind it may use them only for what is over by
-then, or fits beside it.
+"""Hold room that is becoming free, so that small tasks do not starve a large one.
+
+Guards against the starvation of a task that needs most of a worker, or of a gang that
+needs room for all its members at once, where few workers may run it. Each run that ends
+there makes room for a smaller task behind it, and runs that were stopped to make room
+for it would take that room back. Therefore the first steps in the order of service hold
+the workers on which they will fit soonest. Steps behind them may use a held worker only
+for tasks that end before that time, or that fit beside the held room.
 """
 
 from papayapick.ledger import Amounts
@@ -13,32 +13,33 @@
 
 __all__ = ["Hold", "Holds"]
 
-# A task that takes less of a worker than this finds room as soon as a few tasks end.
+# A task that takes a smaller share of a worker fits as soon as a few tasks end.
 _LARGE_SHARE = 0.4
-# Callers' estimates are off by half as a rule: what may run before a hold begins must
-# be over by then.
+# Callers' estimates are usually off by half. A task placed before a hold begins must
+# end by then even if its estimate is too low by this factor.
 _ESTIMATE_FACTOR = 1.5
-# A step of single tasks holds room for so many at a time; the others follow as these
-# are placed.
-_TASKS_HELD = 2
-# With more large steps waiting than that, those behind would hold hardly any room: the
-# first ones hold what there is.
-_STEPS_TRIED = 32
-# Another worker must be free in less than this share of the time to be held instead:
-# estimates change with each look, and a hold that moves to and fro empties no worker.
-_SOONER_SHARE = 0.5
+# Maximum number of tasks for which a step of single tasks holds room at a time. Its
+# other tasks follow as these are placed.
+_MAX_HELD_TASKS = 2
+# Maximum number of steps per round that try to hold room. The first steps hold what
+# there is, so that further ones would hold hardly any.
+_MAX_STEPS = 32
+# A hold moves to another worker only if that is free in less than this share of the
+# time. Estimates change with each round, and a hold that alternates between workers
+# would empty none of them.
+_MOVE_SHARE = 0.5
 
 
 class Hold:
-    """Keep the room of one worker for a step.
+    """Hold of the room of one worker for a step.
 
     Parameters
     ----------
     step_key : StepKey
     free_in_seconds : float
-        Until it is free as far as is known.
+        Expected time until the tasks of the step fit.
     spare : Amounts
-        What is left beside the step's tasks by then.
+        Room that will be left beside these tasks.
     """
 
     __slots__ = ("free_in_seconds", "spare", "step_key")
@@ -49,44 +50,44 @@
         self.spare = spare
 
     def admits(self, step_state):
-        """Return whether a task of a step may be placed in spite of the hold."""
+        """Return whether a task of a step may be placed despite the hold."""
         if step_state.key == self.step_key:
             return True
         if step_state.step.room_demand.fits_in(self.spare):
             return True
-        return _likely_seconds(step_state) <= self.free_in_seconds
+        return _max_likely_seconds(step_state) <= self.free_in_seconds
 
     def take_spare(self, demand):
-        """Take in that a task of another step was placed beside it."""
+        """Subtract a task of another step, placed despite the hold, from the spare."""
         self.spare = self.spare - demand
 
 
 class Holds:
-    """Give holds to the steps that find no room, in the order of service.
+    """Holds of one scheduling round, taken by steps in the order of service.
 
     Parameters
     ----------
     rooms : Rooms
-        Holds of the round before are dropped.
+        Their holds of the previous round are removed.
     step_of : callable
         Takes the key of a task; returns its StepState, or None.
     now : float
         Monotonic seconds.
     """
 
-    __slots__ = ("_least", "_now", "_rooms", "_step_of", "_tries_left")
+    __slots__ = ("_now", "_rooms", "_smallest", "_step_of", "_steps_left")
 
     def __init__(self, rooms, step_of, now):
         self._rooms = rooms
         self._step_of = step_of
         self._now = now
-        self._tries_left = _STEPS_TRIED
-        self._least = _least_capacity(rooms)
+        self._steps_left = _MAX_STEPS
+        self._smallest = _min_capacity(rooms)
         for room in rooms:
             room.hold = None
 
     def take(self, step_state, allowed=None):
-        """Hold room for a step that waits.
+        """Hold room for a step that waits, if it needs a hold.
 
         Parameters
         ----------
@@ -97,15 +98,15 @@
         Returns
         -------
         float or None
-            Seconds until the room that is held for it is free; None where none is.
+            Seconds until the held room is free; None if no room is held.
         """
-        if not self._is_worth_a_try(step_state):
+        if not self._needs_hold(step_state):
             return None
         indexes = sorted(step_state.waiting)
         is_gang = step_state.step.is_gang
         candidates = self._candidates(step_state, allowed)
         if not is_gang:
-            indexes = indexes[:_TASKS_HELD]
+            indexes = indexes[:_MAX_HELD_TASKS]
         planned = {}
         for index in indexes:
             room = self._soonest(step_state, index, candidates, planned)
@@ -114,23 +115,24 @@
             elif is_gang:
                 planned = {}
                 break
-        return self._set(step_state, planned)
+        return self._set_holds(step_state, planned)
 
-    def _is_worth_a_try(self, step_state):
-        """Return whether a step may hold room; without a look at each worker.
+    def _needs_hold(self, step_state):
+        """Return whether to try to hold room for a step, and count the attempt.
 
-        Hundreds of steps of small tasks wait in a burst, and none of them does.
+        No worker is examined: in a burst, hundreds of steps of small tasks wait, and
+        none of them needs a hold.
         """
         step = step_state.step
-        if step.is_filler or self._tries_left <= 0:
+        if step.is_filler or self._steps_left <= 0:
             return False
         if step.is_gang and len(step_state.waiting) < len(step_state.tasks):
             return False
         if not _needs_several(step_state) and not _is_large(
-            step.room_demand, self._least
+            step.room_demand, self._smallest
         ):
             return False
-        self._tries_left -= 1
+        self._steps_left -= 1
         return True
 
     def _candidates(self, step_state, allowed):
@@ -161,67 +163,68 @@
                 continue
             seconds, _ = found
             if room.worker in step_state.held_on:
-                seconds *= _SOONER_SHARE
+                seconds *= _MOVE_SHARE
             rank = (room.is_suspected, seconds)
             if best_rank is None or rank < best_rank:
                 best, best_rank = room, rank
         return best
 
     def _free_in(self, room, step_state, count):
-        """Return the seconds until so many tasks fit, and what is spare; or None."""
+        """Return the seconds until a number of tasks fit, and the spare; or None."""
         wanted = step_state.step.room_demand
         free = Amounts(room.processors, room.memory, room.accelerators)
         for _ in range(count):
             free = free - wanted
-        if _is_enough(free):
+        if _is_sufficient(free):
             return 0.0, free
-        rests = []
+        remaining_times = []
         for run in room.runs.values():
-            rest = remaining_seconds(self._step_of(run.key), run, self._now)
-            if rest is not None:
-                rests.append((rest, id(run), run.demand))
-        for rest, _, demand in sorted(rests):
+            remaining = remaining_seconds(self._step_of(run.key), run, self._now)
+            if remaining is not None:
+                remaining_times.append((remaining, id(run), run.demand))
+        for remaining, _, demand in sorted(remaining_times):
             free = free + demand
-            if _is_enough(free):
-                return rest, free
+            if _is_sufficient(free):
+                return remaining, free
         return None
 
-    def _set(self, step_state, planned):
-        """Hold what was planned; return the seconds until the first of it is free."""
-        found = {
+    def _set_holds(self, step_state, planned):
+        """Set the planned holds; return the seconds until a task of the step fits."""
+        free = {
             room: self._free_in(room, step_state, len(indexes))
             for room, indexes in planned.items()
         }
-        last = max((seconds for seconds, _ in found.values()), default=0.0)
+        last = max((seconds for seconds, _ in free.values()), default=0.0)
         held_on = {}
-        for room, (seconds, spare) in found.items():
-            # The members of a gang begin together.
+        for room, (seconds, spare) in free.items():
+            # The members of a gang start together.
             begins_at = self._now + (last if step_state.step.is_gang else seconds)
-            # What was placed there meanwhile may take longer than its caller said.
-            # Were the hold put off for it, more would be placed, and so on for ever.
+            # A task that was placed despite the hold may take longer than its estimate.
+            # If this deferred the hold, more tasks could be placed, and it would never
+            # begin.
             begins_at = min(begins_at, step_state.held_on.get(room.worker, begins_at))
             held_on[room.worker] = begins_at
             free_in_seconds = max(0.0, begins_at - self._now)
             room.hold = Hold(step_state.key, free_in_seconds, spare)
         step_state.held_on = held_on
-        if not found:
+        if not free:
             return None
         if step_state.step.is_gang:
             return last
-        return min(seconds for seconds, _ in found.values())
+        return min(seconds for seconds, _ in free.values())
 
 
-def _is_enough(free):
+def _is_sufficient(free):
     return free.processors >= 0 and free.memory >= 0 and free.accelerators >= 0
 
 
 def _needs_several(step_state):
-    """Return whether room for several tasks is needed at once."""
+    """Return whether a step needs room for several tasks at once."""
     return step_state.step.is_gang and len(step_state.tasks) > 1
 
 
-def _least_capacity(rooms):
-    """Return the least of each amount that any worker has."""
+def _min_capacity(rooms):
+    """Return the minimum of each amount over the capacities of the workers."""
     capacities = [room.registration.capacity for room in rooms]
     return Amounts(
         min((one.processors for one in capacities), default=0),
@@ -231,7 +234,7 @@
 
 
 def _is_large(demand, capacity):
-    """Return whether a task takes a good part of a worker."""
+    """Return whether a demand takes a large share of a capacity."""
     return (
         demand.processors >= _LARGE_SHARE * capacity.processors
         or demand.memory >= _LARGE_SHARE * capacity.memory
@@ -242,8 +245,8 @@
     )
 
 
-def _likely_seconds(step_state):
-    """Return how long a task of a step may run; endless for one that lasts."""
+def _max_likely_seconds(step_state):
+    """Return how long a task of a step may run, infinity if that is not limited."""
     if step_state.step.is_lasting:
         return float("inf")
     known = max(step_state.usual_seconds, step_state.step.estimate_seconds)
