--- a/papayapick/placement/steps.py
+++ b/papayapick/placement/steps.py
@@ -1,27 +1,32 @@
-"""Decide which waiting step is served next, and place its tasks."""
+"""Order the waiting steps, and place their tasks."""
 
 from papayapick.jobs.documents import TaskKey
 from papayapick.placement.timeliness import latest_start
 
 __all__ = ["order_steps", "place_step"]
 
-# A task that lasts and is down serves nobody; it is started before all else once it
-# has waited so long. Such tasks are few, and take the same room as before.
+# A lasting task that is down serves no requests, so it precedes all steps once it has
+# waited this long. Such tasks are few, and take the same room as before.
 _DOWN_SECONDS = 2.0
-_FIRST = -1
+# More urgent than the priority of any queue.
+_TOP_PRIORITY = -1
 
 
 def order_steps(steps, now):
-    """Return waiting steps in the order in which they are served.
+    """Return the waiting steps in the order of service.
 
-    Those for which room is held keep their turn: they are few, and the longer they
-    wait the less they would count against what has just come.
+    Steps for which room is held precede others of their priority. They are few, and by
+    timeliness they would fall behind new steps the longer they wait.
 
     Parameters
     ----------
     steps : list of StepState
     now : float
         Monotonic seconds.
+
+    Returns
+    -------
+    list of StepState
     """
     return sorted(
         steps,
@@ -35,13 +40,13 @@
 
 
 def _rank(step, now):
-    """Return the priority of a step; the least is served first."""
+    """Return the priority of a step; the lowest is served first."""
     is_down = step.step.is_lasting and now - step.ready_at > _DOWN_SECONDS
-    return _FIRST if is_down else step.job.queue.priority
+    return _TOP_PRIORITY if is_down else step.job.queue.priority
 
 
 def place_step(step, rooms, allowed, begin):
-    """Place as many tasks of a step as find room; all or none of a gang.
+    """Place as many tasks of a step as fit; of a gang, all or none.
 
     Parameters
     ----------
@@ -49,8 +54,8 @@
     rooms : Rooms
     allowed : container of str or None
     begin : callable
-        Takes step, index, worker and attempt (or None); reserves the room and
-        returns a Run.
+        Takes step, index, worker, and attempt or None; reserves the room and returns a
+        Run.
 
     Returns
     -------
@@ -63,7 +68,8 @@
         room = rooms.choose(step, index, allowed)
         if room is None:
             if step.tasks[index].failed_on:
-                # It may wait for a worker where it has not failed; the others need not.
+                # It may wait for a worker on which it has not failed, while the other
+                # tasks fit.
                 continue
             break
         runs.append(begin(step, index, room.worker, None))
@@ -75,7 +81,8 @@
         return []
     racks = [None]
     if step.step.is_rack_bound:
-        # Spread over racks it works slowly; that is still better than waiting.
+        # Prefer a single rack. A gang spread over racks is slower, but that is still
+        # better than waiting.
         racks = sorted({room.rack for room in rooms}) + [None]
     for rack in racks:
         chosen = _choose_all(step, rooms, allowed, rack)
@@ -88,8 +95,8 @@
     return []
 
 
-class _Probe:
-    """Take room while a gang is tried; given back before anything is begun."""
+class _TrialReservation:
+    """Temporary reservation, released again before the gang is started."""
 
     __slots__ = ("demand", "is_filler", "key", "name", "tail_limit")
 
@@ -102,28 +109,32 @@
 
 
 def _choose_all(step, rooms, allowed, rack):
-    probes = []
+    reservations = []
     try:
-        for index in _most_bound_first(step):
+        for index in _most_excluded_first(step):
             room = rooms.choose(step, index, allowed, rack)
             if room is None:
                 return None
             key = TaskKey(*step.key, index)
-            probe = _Probe(key, step.step.room_demand, step.step.is_filler)
-            room.reserve(probe)
-            probes.append((room, probe))
-        chosen = {probe.key.index: room.worker for room, probe in probes}
+            reservation = _TrialReservation(
+                key, step.step.room_demand, step.step.is_filler
+            )
+            room.reserve(reservation)
+            reservations.append((room, reservation))
+        chosen = {
+            reservation.key.index: room.worker for room, reservation in reservations
+        }
         return [chosen[index] for index in range(len(step.tasks))]
     finally:
-        for room, probe in probes:
-            room.release(probe)
+        for room, reservation in reservations:
+            room.release(reservation)
 
 
-def _most_bound_first(step):
-    """Return the members of a gang, those first that have failed somewhere.
+def _most_excluded_first(step):
+    """Return the members of a gang, those excluded from most workers first.
 
-    Another member may use the worker where one failed. Left to the last, that one would
-    find the other workers taken by members that could have gone anywhere.
+    Placed last, a member that has failed on some workers could find all others taken by
+    members that may run on any worker.
     """
     return sorted(
         range(len(step.tasks)), key=lambda index: -len(step.tasks[index].failed_on)
--- a/papayapick/placement/timeliness.py
+++ b/papayapick/placement/timeliness.py
@@ -1,23 +1,23 @@
-"""Tell which waiting work can still be done in time.
+"""Classify waiting steps by whether their jobs can still be completed in time.
 
-Answers a load above what the pool can do. Served in the order of arrival, every job
-then waits as long as the backlog is old, and soon each is finished when nobody has a
-use for it any more. Work that can still be done in time goes first, by the time at
-which it must begin at the latest; then work that will be late, but still counts; work
-that is too late in any case comes last, when there is room.
+Guards against load above the capacity of the pool. Served in the order of arrival,
+every job would wait for the whole backlog, and soon each job would be completed too
+late to be useful. Steps whose jobs can be completed in time come first, by their latest
+start; then those whose jobs will be late, but still useful; those that are too late in
+any case come last, if there is room.
 """
 
 import enum
 
 __all__ = ["Timeliness", "latest_start", "useful_seconds"]
 
-# A job that takes up to so many times its objective is late, but of use (the users'
-# rules for what a job earns).
+# A job that takes up to this multiple of its objective is late, but useful, by the
+# users' rules for the value of a job.
 _LATE_FACTOR = 3.0
 
 
 class Timeliness(enum.IntEnum):
-    """Tell whether work that begins now can be done in time."""
+    """Whether a job can be completed in time if its step starts now."""
 
     IN_TIME = 0
     LATE = 1
@@ -25,10 +25,10 @@
 
 
 def latest_start(step, now):
-    """Return whether a step can be done in time, and when it must begin for it.
+    """Return the timeliness of a step, and its latest start.
 
-    Lasting jobs have no end and those with due times are not counted from their
-    arrival: both are served as if in time, by their arrival.
+    Lasting jobs have no end, and the objective of jobs with due times is not counted
+    from their arrival. Both are served as if in time, by their arrival.
 
     Parameters
     ----------
@@ -39,22 +39,28 @@
     Returns
     -------
     tuple of (Timeliness, float)
-        Sorts in the order in which steps of one priority are served.
+        Sorts in the order of service of the steps of one priority. The time is the
+        arrival of the job if the latest start does not apply.
     """
     job = step.job
     if job.document.is_timed or step.step.is_lasting:
         return Timeliness.IN_TIME, job.arrived
     objective = _objective(job)
-    rest = job.chains[step.key.step]
-    for kind, factor in ((Timeliness.IN_TIME, 1.0), (Timeliness.LATE, _LATE_FACTOR)):
-        latest = job.arrived + factor * objective - rest
+    remaining = job.chains[step.key.step]
+    for timeliness, factor in (
+        (Timeliness.IN_TIME, 1.0),
+        (Timeliness.LATE, _LATE_FACTOR),
+    ):
+        latest = job.arrived + factor * objective - remaining
         if now <= latest:
-            return kind, latest
+            return timeliness, latest
     return Timeliness.OVERDUE, job.arrived
 
 
 def useful_seconds(job):
-    """Return how long after it was accepted a job is of use; endless for some.
+    """Return for how long after its acceptance a job is useful to its caller.
+
+    The time is infinite for lasting jobs and jobs with due times.
 
     Parameters
     ----------
