--- a/papayapick/placement/__init__.py
+++ b/papayapick/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Choose where work goes."""
+"""Decide where and when jobs, tasks and service calls run."""
 
 from papayapick.placement.failures import FailureTracker
 from papayapick.placement.health import HealthRules, InstanceHealth
--- a/papayapick/placement/waves.py
+++ b/papayapick/placement/waves.py
@@ -1,9 +1,10 @@
-"""Decide which machines of a wave have their upkeep next, and what leaves them first.
+"""Choose the machines of a wave that have their upkeep next, and drain them.
 
-A wave asks that each of its machines has its upkeep within a time, and only so many at
-once. What runs on a machine ends with its upkeep, so it is emptied first: nothing new
-is placed there, short tasks end by themselves, lasting ones are moved one by one as
-their step allows, and what is left is stopped when the time for one round is over.
+A wave requires the upkeep of each of its machines within a time, and limits how many
+may be away at once. The upkeep ends all runs on a machine, so the machine is drained
+first: no task is placed there, short tasks run to their end, lasting ones are moved one
+by one as their step allows, and the others are stopped when the time for draining is
+over.
 """
 
 from papayapick.jobs.runs import RunPhase
@@ -16,28 +17,29 @@
     "runs_to_stop",
 ]
 
-# A task that works has this percent once it is up; lasting tasks stay there.
-_AT_WORK = 100
-# A machine is emptied for no longer, however much time the wave has: the room that
-# stands empty is missed elsewhere, and a task that takes longer loses little by a stop.
-_MOST_PATIENCE_SECONDS = 8.0
-# An order, the list of machines and a renewal take this long around an upkeep.
+# Progress at which a lasting task serves requests; it stays there.
+_SERVING_PERCENT = 100
+# Maximum time for draining a machine, however much time the wave has: its empty room is
+# missing elsewhere, and a stop costs a task that takes longer little.
+_MAX_DRAIN_SECONDS = 8.0
+# Time that the order, the list of machines and a renewal add to one upkeep.
 _ROUND_SECONDS = 1.5
-# Of the time that is left, a share stays for calls that have no answer.
+# Share of the remaining time to plan with. The rest is a reserve for calls without an
+# answer.
 _TIME_SHARE = 0.8
 
 
 class Wave:
-    """Hold one wave of upkeep.
+    """Wave of upkeep of some machines.
 
     Parameters
     ----------
     number : int
     machines : list of str
     seconds : float
-        In which all of them are to begin their upkeep.
+        Time within which the upkeep of all of them must begin.
     at_once : int
-        Most machines that may be away for it at the same time.
+        Maximum number of machines that may be away at the same time.
     """
 
     __slots__ = ("at_once", "machines", "number", "seconds")
@@ -50,19 +52,19 @@
 
 
 class WaveRecord:
-    """Hold how far an owner is with a wave, as its successor will read it.
+    """Stored progress of an owner with a wave, which its successor reads.
 
     Parameters
     ----------
+    since : float
+        Unix seconds at which the owner began with the wave.
     ordered : dict of str to str
-        Machines whose upkeep was or is being ordered, and whose return was not seen;
-        with the worker that each had.
+        Worker by machine, of machines whose upkeep was or is being ordered and that are
+        not known to be back.
     begun : set of str
         Machines whose upkeep has begun.
-    since : float
-        Unix seconds at which the wave was taken up.
     version : int
-        Of the row that holds it; 0 where there is none.
+        Version of the row that stores the record; 0 if there is none.
     """
 
     __slots__ = ("begun", "ordered", "since", "version")
@@ -75,11 +77,11 @@
 
     @classmethod
     def from_row(cls, value, version):
-        """Read what ``as_value`` returned."""
+        """Return the record for a value returned by ``as_value``."""
         return cls(value["since"], value["ordered"], value["begun"], version)
 
     def as_value(self):
-        """Return the record for the store."""
+        """Return the record as a value for the store."""
         return {
             "since": self.since,
             "ordered": self.ordered,
@@ -87,14 +89,15 @@
         }
 
     def note_machines(self, machines):
-        """Take in the list of machines: those that are back are not away any more.
+        """Remove the machines that are back or no longer listed from ``ordered``.
 
-        An order that had no answer may still be carried out: only a machine whose
-        upkeep has begun, and that is up with another worker, is back.
+        An order without an answer may still be carried out. Therefore a machine is back
+        only if its upkeep has begun, and it is up with another worker.
 
         Parameters
         ----------
         machines : dict of str to Machine
+            All machines of the platform, by name.
         """
         for name, worker in list(self.ordered.items()):
             machine = machines.get(name)
@@ -109,127 +112,138 @@
 
 
 def choose_machines(wave, record, machines, is_own, loads, draining=()):
-    """Return the machines of an owner that are emptied and have their upkeep now.
+    """Return the machines of an owner to drain and order upkeep for now.
 
     Parameters
     ----------
     wave : Wave
     record : WaveRecord
     machines : dict of str to Machine
-        All of the platform, by name.
+        All machines of the platform, by name.
     is_own : callable
-        Takes a machine; returns whether its upkeep is this owner's part.
+        Takes a machine; returns whether this owner is responsible for its upkeep.
     loads : dict of str to int
-        For each worker, millicores of what runs there.
+        Reserved millicores by worker.
     draining : container of str
-        Workers that are being emptied already.
+        Workers that are draining already.
 
     Returns
     -------
     list of str
-        Those ordered before come first: their upkeep may have begun unseen.
+        Machines whose upkeep was ordered before come first, since it may have begun
+        without an answer.
     """
     in_upkeep = {
         name
         for name in wave.machines
         if name in machines and machines[name].is_in_upkeep
     }
-    left = [
+    not_begun = [
         name
         for name in wave.machines
         if name in machines and is_own(machines[name]) and name not in record.begun
     ]
-    again = [name for name in left if name in record.ordered]
+    ordered_before = [name for name in not_begun if name in record.ordered]
 
     def rank(name):
-        # One that is being emptied stays: loads change with each end, and two machines
-        # taken by turns would never be empty. Else where the least runs, the least is
-        # moved, and it is ready soonest.
+        # A draining machine stays chosen: loads change with each run that ends, and two
+        # machines chosen alternately would never be empty. Otherwise, the machine with
+        # the lowest load is empty soonest, and fewest runs are moved.
         worker = machines[name].worker
         return worker not in draining, loads.get(worker, 0), name
 
-    fresh = sorted(
-        (name for name in left if name not in record.ordered and machines[name].is_up),
+    not_ordered = sorted(
+        (
+            name
+            for name in not_begun
+            if name not in record.ordered and machines[name].is_up
+        ),
         key=rank,
     )
     away = in_upkeep | set(record.ordered)
-    return again + fresh[: max(0, wave.at_once - len(away))]
+    return ordered_before + not_ordered[: max(0, wave.at_once - len(away))]
 
 
-def drain_limit_seconds(rest, left, at_once, upkeep_seconds):
-    """Return how long a machine may be emptied before what is left is stopped.
+def drain_limit_seconds(remaining, machines_left, at_once, upkeep_seconds):
+    """Return how long a machine may drain before its remaining runs are stopped.
 
     Parameters
     ----------
-    rest : float
-        Seconds until the wave is to be done.
-    left : int
-        Machines whose upkeep has not begun.
+    remaining : float
+        Seconds until the wave must be done.
+    machines_left : int
+        Number of machines whose upkeep has not begun.
     at_once : int
+        Maximum number of machines that may be away at the same time.
     upkeep_seconds : float
 
+    Returns
+    -------
+    float
+        Seconds.
+
     Examples
     --------
-    >>> patience_seconds(60.0, 6, 2, 2.0)
+    >>> drain_limit_seconds(60.0, 6, 2, 2.0)
     8.0
-    >>> round(patience_seconds(20.0, 6, 2, 2.0), 2)
+    >>> round(drain_limit_seconds(20.0, 6, 2, 2.0), 2)
     1.83
-    >>> patience_seconds(5.0, 6, 2, 2.0)
+    >>> drain_limit_seconds(5.0, 6, 2, 2.0)
     0.0
     """
-    rounds = max(1, -(-left // max(1, at_once)))
-    # The last round need only begin.
-    spare = rest * _TIME_SHARE / rounds - upkeep_seconds - _ROUND_SECONDS
-    return min(_MOST_PATIENCE_SECONDS, max(0.0, spare))
+    rounds = max(1, -(-machines_left // max(1, at_once)))
+    # The upkeep of the last round only has to begin in time.
+    spare = remaining * _TIME_SHARE / rounds - upkeep_seconds - _ROUND_SECONDS
+    return min(_MAX_DRAIN_SECONDS, max(0.0, spare))
 
 
 def runs_to_stop(room, step_of, is_over):
-    """Return the runs of a machine that is emptied which are to be stopped now.
+    """Return the runs to stop now on a draining worker.
 
     Parameters
     ----------
     room : WorkerRoom
     step_of : callable
-        Takes a task's key; returns its StepState, or None where that is over.
+        Takes the key of a task; returns its StepState, or None if that has ended.
     is_over : bool
-        The time for emptying is over.
+        Whether the time for draining is over.
 
     Returns
     -------
     list of Run
     """
-    found, moved = [], {}
+    stopping, moved = [], {}
     for run in room.runs.values():
         if run.stop_requested is not None:
             continue
         step = step_of(run.key)
         if step is None or not step.step.is_lasting:
             if is_over:
-                found.append(run)
+                stopping.append(run)
             continue
         count = moved.get(step.key, 0)
         if _may_move(step, run, count):
             moved[step.key] = count + 1
-            found.append(run)
-    return found
+            stopping.append(run)
+    return stopping
 
 
 def _may_move(step, run, moved):
-    """Return whether one more task of a lasting step may be away."""
+    """Return whether one more task of a lasting step may be unavailable."""
     limit = step.step.unavailable_limit
-    if not limit or not _is_at_work(run):
+    if not limit or not _is_serving(run):
         return True
     away = moved + sum(
-        not any(_is_at_work(one) for one in task.runs)
+        not any(_is_serving(one) for one in task.runs)
         for index, task in enumerate(step.tasks)
         if index != run.key.index
     )
     return away < limit
 
 
-def _is_at_work(run):
+def _is_serving(run):
     return (
         run.phase == RunPhase.RUNNING
         and run.stop_requested is None
-        and run.percent == _AT_WORK
+        and run.percent == _SERVING_PERCENT
     )
