--- a/tests/placement/test_gangs.py
+++ b/tests/placement/test_gangs.py
@@ -1,4 +1,4 @@
-"""Jobs of several members start whole, in order, and starve nobody."""
+"""Starts of jobs with several members: all or none, in order, without starvation."""
 
 import pytest
 from hypothesis import given, settings
@@ -40,11 +40,11 @@
     return sum(ledger.free(name).processors for name in ledger.names) // 1000
 
 
-def test_a_job_that_lacks_one_place_holds_none():
-    """Two jobs wait for each other for ever.
+def test_a_job_of_which_one_member_does_not_fit_reserves_no_room():
+    """Guards against a deadlock of two jobs.
 
-    Each reserved some of its members and waits for the rest, which the other
-    holds; no third job can start either.
+    Each has reserved room for some of its members and waits for room that the other
+    has reserved, and no third job can start either.
     """
     ledger = ledger_of(4)
     assert reserve_all(ledger, BestFit(), job("a", members=3, cores=3)) is not None
@@ -53,11 +53,11 @@
     assert reserve_all(ledger, BestFit(), job("c", cores=4)) is not None
 
 
-def test_small_jobs_that_never_stop_coming_do_not_starve_a_large_one():
-    """A job of four members waits for ever although the cell is never overloaded.
+def test_a_stream_of_small_jobs_does_not_starve_a_large_one():
+    """Guards against starvation of a job of four members in a cell without overload.
 
-    Whenever one of its places comes free a small job takes it, as at no moment
-    all four are free together.
+    Whenever room for one member becomes free, a small job takes it, so there is never
+    room for all four at once.
     """
     started = {}
     for policy in (FirstThatFits(), Backfill()):
@@ -78,11 +78,10 @@
     assert started[Backfill, "large"] == 13
 
 
-def test_work_that_is_over_in_time_fills_the_wait():
-    """Half of the cell idles while a large job waits for the other half.
+def test_short_jobs_are_backfilled_while_a_large_one_waits():
+    """Guards against half of the cell idling while a large job waits for the rest.
 
-    A short job could be over before the large one can start; a long one would
-    put it off.
+    A short job ends before the large one can start; a long one would delay it.
     """
     queue = JobQueue(ledger_of(2, cores=1))
     queue.add(job("running", seconds=100.0))
@@ -96,11 +95,11 @@
     assert names_of(queue.choose_starts(94.0)) == ["large"]
 
 
-def test_a_cancelled_job_gives_up_what_was_promised_to_it():
-    """Jobs wait for a job that is no longer there.
+def test_a_cancelled_job_loses_its_promised_start():
+    """Guards against jobs that wait for a cancelled one.
 
-    The large job was cancelled while room was held for it, and nothing else
-    changes that would make the queue look again.
+    The large job is cancelled while room is held for it, and no other change makes the
+    queue choose anew.
     """
     queue = JobQueue(ledger_of(2, cores=1))
     queue.add(job("running", seconds=100.0))
@@ -112,8 +111,8 @@
     assert names_of(queue.choose_starts(4.0)) == ["long"]
 
 
-def test_waiting_raises_a_job_above_nearer_deadlines_that_come_later():
-    """Work with a far deadline never runs, as nearer ones keep coming."""
+def test_ageing_puts_a_job_before_later_ones_with_nearer_deadlines():
+    """Guards against starvation of a job with a far deadline by a stream of others."""
     order = DeadlineOrder(ageing_seconds=600.0, margin_seconds=0.0)
     far = job("far", deadline=1e6, arrival=0.0)
     near = [
@@ -125,7 +124,7 @@
 
 
 @pytest.mark.parametrize("members", [1, 3])
-def test_overdue_jobs_are_told_at_once(members):
+def test_overdue_jobs_are_returned_at_once(members):
     queue = JobQueue(ledger_of(1, cores=1))
     queue.add(job("running", seconds=100.0))
     queue.choose_starts(0.0)
@@ -150,11 +149,11 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(JOBS)
-def test_a_promised_start_is_kept_whatever_fills_behind_it(drawn):
-    """A large job starts later than promised.
+def test_a_promised_start_is_not_delayed_by_backfilled_jobs(drawn):
+    """Guards against a large job that starts later than promised.
 
-    Something that was let in behind it still holds the room. Runs end when they
-    like, but never after their bound.
+    A backfilled job would still occupy the room. Runs end at random times, but never
+    after their maximum run time.
     """
     ledger = ledger_of(4)
     policy = Backfill()
@@ -164,9 +163,9 @@
     for number, (members, cores, bound, share, gap) in enumerate(drawn):
         name = f"job-{number}"
         arrival = (arrivals[-1].arrival if arrivals else 0.0) + gap
-        most = 4 * (4 // cores)
+        max_members = 4 * (4 // cores)
         arrivals.append(
-            job(name, min(members, most), cores, float(bound), arrival=arrival)
+            job(name, min(members, max_members), cores, float(bound), arrival=arrival)
         )
         shares[name] = share
     while arrivals or ends or len(queue):
@@ -182,29 +181,29 @@
             ends[name] = now + one.job.run_seconds * shares[name]
             started.add(name)
         if policy.promised is not None:
-            name, found = policy.promised
-            promised.setdefault(name, found.time)
+            name, start = policy.promised
+            promised.setdefault(name, start.time)
     assert started == set(shares)
 
 
-def test_a_promise_counts_only_room_that_fits_a_member():
+def test_a_promised_start_counts_only_room_that_fits_a_member():
     ledger = ledger_of(2)
     queue = JobQueue(ledger)
     queue.add(job("a", cores=3, seconds=10.0))
     queue.add(job("b", cores=3, seconds=20.0))
     queue.choose_starts(0.0)
-    found = promise_start(ledger, job("c", cores=4), queue.running, 0.0)
-    assert found.time == 10.0
+    start = promise_start(ledger, job("c", cores=4), queue.running, 0.0)
+    assert start.time == 10.0
     assert (
         promise_start(ledger, job("d", members=3, cores=3), queue.running, 0.0) is None
     )
 
 
-def test_room_kept_for_accelerators_is_promised_to_no_other_work():
-    """The queue stands still although jobs behind the first fit.
+def test_room_kept_for_accelerators_is_not_promised_to_other_jobs():
+    """Guards against a queue that blocks although jobs behind the first fit.
 
-    The first was promised room that its choice can never get: a host keeps it for
-    idle accelerators.
+    The first job is promised room that it can never reserve, since the host keeps it
+    for jobs that use its idle accelerators.
     """
     ledger = ledger_of(1, cores=4)
     ledger.add("accelerated", Amounts(8000, 8192, 8))
@@ -220,8 +219,8 @@
     assert names_of(queue.choose_starts(10.0)) == ["first"]
 
 
-def test_deferred_work_whose_latest_start_is_near_goes_before_urgent_work():
-    """A comparison never arrives, as urgent work always comes first."""
+def test_deferred_job_whose_latest_start_is_near_precedes_urgent_jobs():
+    """Guards against deferred jobs that miss their deadline behind urgent ones."""
     queue = JobQueue(ledger_of(1, cores=1), order=DeadlineOrder(margin_seconds=60.0))
     queue.add(job("running", seconds=10.0))
     queue.choose_starts(0.0)
@@ -235,11 +234,11 @@
     assert order == ["rush-1", "deferred", "rush-2"]
 
 
-def test_what_is_paused_is_not_started_again_while_urgent_work_waits():
-    """Jobs are checkpointed and started over and over, and no work gets done.
+def test_paused_jobs_are_not_started_again_while_urgent_jobs_wait():
+    """Guards against jobs that are paused and started repeatedly without progress.
 
-    Room is held for the first urgent job only; a paused job takes the room that
-    the second needs, and is paused again.
+    Room is held for the first urgent job only. A paused job would take the room that
+    the second needs, and be paused again.
     """
     queue = JobQueue(ledger_of(2, cores=1))
     for name in ("low-1", "low-2"):
@@ -260,11 +259,11 @@
 
 
 @pytest.mark.parametrize("policy", [Backfill, FirstComeFirstServed, FirstThatFits])
-def test_a_job_that_comes_to_an_empty_queue_starts(policy):
-    """A job waits although the cell idles, until another comes or ends.
+def test_a_job_added_to_an_empty_queue_starts(policy):
+    """Guards against a job that waits in an idle cell until another is added or ends.
 
-    Nothing has changed since the last look but that the job came, and it was taken
-    for one that stands behind another.
+    Nothing but the added job has changed since the last choice of starts, and it must
+    not be taken for a job behind one that waits.
     """
     queue = JobQueue(ledger_of(2), policy())
     queue.add(job("first"))
--- a/tests/placement/test_instance_health.py
+++ b/tests/placement/test_instance_health.py
@@ -1,4 +1,4 @@
-"""Choose among instances of which some fail, crawl, hang or come back."""
+"""Choice among instances of which some fail, are slow, do not answer or recover."""
 
 import heapq
 import random
@@ -13,8 +13,8 @@
 NAMES = [f"i{number}" for number in range(8)]
 
 
-class Bench:
-    """Place calls one after the other; each instance answers as told."""
+class CallSimulator:
+    """Calls to instances that answer as configured in ``answers``."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -29,7 +29,7 @@
         self.clock.advance(20)
 
     def call(self, avoid=()):
-        """Place one call, answer it and return where it went."""
+        """Make one call, answer it and return the name of its instance."""
         grant, name = self.begin(avoid)
         outcome, seconds = self.answers.get(name, ("done", 0.01))
         self.clock.advance(seconds)
@@ -47,12 +47,12 @@
         self.policy.granted(SERVICE, name, self.number)
         return self.number, name
 
-    def run(self, calls=400, side_by_side=24):
-        """Keep so many calls open; return how many went to each instance."""
+    def run(self, calls=400, parallel=24):
+        """Make calls, some of them in parallel; return the count of each instance."""
         counts = dict.fromkeys(NAMES, 0)
         ends = []
         for _ in range(calls):
-            while len(ends) >= side_by_side:
+            while len(ends) >= parallel:
                 due, grant, outcome, seconds = heapq.heappop(ends)
                 self.clock.advance(max(0.0, due - self.clock.monotonic()))
                 self.end(grant, outcome, seconds)
@@ -75,113 +75,110 @@
     ],
 )
 def test_faulty_instance_gets_hardly_any_calls(fault):
-    """Callers see failures or late answers, more the longer it goes on.
+    """Guards against a faulty instance that gets an increasing share of the calls.
 
-    One instance fails at once, crawls or is silent. One that fails at once is
-    always idle and would get nearly all calls by the count of its calls.
+    An instance that fails immediately is always idle, and would get nearly all calls
+    by the number of its calls in flight.
     """
-    bench = Bench()
-    bench.run()
-    bench.answers["i3"] = fault
-    bench.run()
-    assert bench.run()["i3"] < 8
-    assert bench.health.is_ejected(SERVICE, "i3")
+    simulator = CallSimulator()
+    simulator.run()
+    simulator.answers["i3"] = fault
+    simulator.run()
+    assert simulator.run()["i3"] < 8
+    assert simulator.health.is_ejected(SERVICE, "i3")
 
 
-def test_probe_brings_a_mended_instance_back_slowly():
-    """An ejected instance is mended, and its capacity stays unused.
+def test_probe_readmits_a_recovered_instance_slowly():
+    """Guards against a recovered instance whose capacity stays unused.
 
-    Only a call can tell that it is well; one at a time is risked, and the
-    return does not send it a rush of calls while it is cold.
+    Only a call can show the recovery, so probes are sent one at a time. After its
+    return the instance must not get a burst of calls before it has warmed up.
     """
-    bench = Bench()
-    bench.answers["i3"] = ("failed", 0.0001)
-    bench.run()
-    assert bench.health.is_ejected(SERVICE, "i3")
-    bench.answers.clear()
-    bench.clock.advance(60)
-    open_grants = [bench.begin() for _ in range(8)]
+    simulator = CallSimulator()
+    simulator.answers["i3"] = ("failed", 0.0001)
+    simulator.run()
+    assert simulator.health.is_ejected(SERVICE, "i3")
+    simulator.answers.clear()
+    simulator.clock.advance(60)
+    open_grants = [simulator.begin() for _ in range(8)]
     assert [name for _, name in open_grants].count("i3") == 1
     for grant, _ in open_grants:
-        bench.end(grant, "done", 0.01)
-    assert not bench.health.is_ejected(SERVICE, "i3")
-    # Side by side, so that load decides and not chance.
-    cold = [bench.begin()[1] for _ in range(20)].count("i3")
+        simulator.end(grant, "done", 0.01)
+    assert not simulator.health.is_ejected(SERVICE, "i3")
+    # In parallel, so that the load decides and not the random tie-break.
+    cold = [simulator.begin()[1] for _ in range(20)].count("i3")
     assert cold <= 1
 
 
 def test_failing_probe_doubles_the_time_to_the_next():
-    """An instance stays broken for a minute, and probes cost callers failures.
-
-    Each probe that fails puts the next off twice as long.
-    """
-    bench = Bench()
-    bench.answers["i3"] = ("failed", 0.0001)
-    bench.run()
+    """Guards against frequent probes of a faulty instance, which fail calls."""
+    simulator = CallSimulator()
+    simulator.answers["i3"] = ("failed", 0.0001)
+    simulator.run()
     probes = []
     for _ in range(600):
-        bench.clock.advance(0.1)
-        if bench.call() == "i3":
-            probes.append(bench.clock.monotonic())
+        simulator.clock.advance(0.1)
+        if simulator.call() == "i3":
+            probes.append(simulator.clock.monotonic())
     assert len(probes) <= 6
     gaps = [after - before for before, after in zip(probes, probes[1:], strict=False)]
     assert gaps == sorted(gaps)
 
 
 def test_no_more_than_half_are_ejected():
-    """Six of eight instances fail; ejecting all six would crush the two.
+    """Guards against ejecting six of eight instances, which overloads the other two.
 
-    The cap leaves half in the choice, and among those the well ones get most.
+    Half of the instances stay in the choice, and the healthy ones get most calls.
     """
-    bench = Bench()
-    bench.run()
-    bench.answers = dict.fromkeys(NAMES[:6], ("failed", 0.001))
-    bench.run()
-    ejected = [name for name in NAMES if bench.health.is_ejected(SERVICE, name)]
+    simulator = CallSimulator()
+    simulator.run()
+    simulator.answers = dict.fromkeys(NAMES[:6], ("failed", 0.001))
+    simulator.run()
+    ejected = [name for name in NAMES if simulator.health.is_ejected(SERVICE, name)]
     assert len(ejected) == 4
-    counts = bench.run(side_by_side=8)
+    counts = simulator.run(parallel=8)
     assert counts["i6"] + counts["i7"] > 350
 
 
-def test_requests_that_fail_everywhere_eject_nobody_by_share():
-    """A caller sends requests that fail wherever they run, among others' good ones.
+def test_requests_that_fail_everywhere_eject_no_instance_by_share():
+    """Guards against ejections because of requests that fail on every instance.
 
-    Every instance fails alike, so no instance is to blame.
+    All instances fail the same share of calls, so none of them is the cause.
     """
-    bench = Bench()
+    simulator = CallSimulator()
     draw = random.Random(2)
     for _ in range(600):
         failed = draw.random() < 0.3
-        bench.answers = dict.fromkeys(NAMES, ("failed" if failed else "done", 0.01))
-        bench.call()
-    ejected = [name for name in NAMES if bench.health.is_ejected(SERVICE, name)]
+        simulator.answers = dict.fromkeys(NAMES, ("failed" if failed else "done", 0.01))
+        simulator.call()
+    ejected = [name for name in NAMES if simulator.health.is_ejected(SERVICE, name)]
     assert len(ejected) <= 1
 
 
-def test_ejected_instances_serve_where_none_else_is_open():
-    """The live list closes the well instances while the others are ejected.
+def test_ejected_instances_serve_if_no_other_is_open():
+    """Guards against refusing every call until the next probe.
 
-    Refusing every call until the next probe would help nobody.
+    The healthy instances are closed by the live list while the others are ejected.
     """
-    bench = Bench()
-    bench.answers = dict.fromkeys(NAMES[:4], ("failed", 0.001))
-    bench.run()
+    simulator = CallSimulator()
+    simulator.answers = dict.fromkeys(NAMES[:4], ("failed", 0.001))
+    simulator.run()
     for name in NAMES:
-        if not bench.health.is_ejected(SERVICE, name):
-            bench.ledger.close(name)
-    assert bench.policy.choose(bench.ledger, SERVICE) is not None
+        if not simulator.health.is_ejected(SERVICE, name):
+            simulator.ledger.close(name)
+    assert simulator.policy.choose(simulator.ledger, SERVICE) is not None
 
 
 def test_free_slots_leave_out_the_ejected():
-    """A shard with a failing instance looks idle to the gateways and draws load."""
-    bench = Bench()
-    bench.answers["i3"] = ("failed", 0.0001)
-    bench.run()
-    assert bench.policy.free_slots(bench.ledger, SERVICE) == 7 * 8
-    assert bench.ledger.free_slots(SERVICE) == 8 * 8
-
-
-def test_avoided_instance_is_taken_only_where_no_other_has_room():
-    bench = Bench()
-    assert all(bench.call(avoid=NAMES[:7]) == "i7" for _ in range(5))
-    assert bench.call(avoid=NAMES) in NAMES
+    """Guards against a shard that seems idle because of a failing instance."""
+    simulator = CallSimulator()
+    simulator.answers["i3"] = ("failed", 0.0001)
+    simulator.run()
+    assert simulator.policy.free_slots(simulator.ledger, SERVICE) == 7 * 8
+    assert simulator.ledger.free_slots(SERVICE) == 8 * 8
+
+
+def test_avoided_instance_is_chosen_only_if_no_other_has_a_free_slot():
+    simulator = CallSimulator()
+    assert all(simulator.call(avoid=NAMES[:7]) == "i7" for _ in range(5))
+    assert simulator.call(avoid=NAMES) in NAMES
