--- a/tests/placement/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -1,4 +1,4 @@
-"""Whom to stop: the same runs as a look at each worker and run would find."""
+"""Choice of runs to stop, compared with a search of all workers and runs."""
 
 import itertools
 import random
@@ -13,7 +13,7 @@
 PRIORITIES = (0, 1, 2)
 WORKERS = 6
 LOADS = 400
-MOST_VICTIMS = 3
+MAX_VICTIMS = 3
 
 
 def _queue(priority):
@@ -27,14 +27,14 @@
 
 
 class RandomLoad:
-    """Draw workers with runs, some of which may be stopped, and one step that waits."""
+    """Random workers with runs, some of which may be stopped, and a waiting step."""
 
     def __init__(self, seed):
         self._draw = random.Random(seed)
         self._names = (f"{number:016x}" for number in itertools.count())
         self._book = JobBook()
         self.rooms = Rooms()
-        # Of each run, as far as it may be stopped.
+        # Priority by name of the run; None if it may not be stopped.
         self.priorities = {}
         self.step = self._waiting_step()
         for number in range(WORKERS):
@@ -90,8 +90,8 @@
         self.priorities[run.name] = self._draw.choice((None, *PRIORITIES))
 
 
-class PlainSearch:
-    """Look at each worker and each run anew for each task."""
+class ExhaustiveSearch:
+    """Search all workers and their runs for each task of the step."""
 
     def __init__(self, load):
         self._load = load
@@ -104,7 +104,7 @@
             options = [
                 (len(victims), number, room.worker, victims)
                 for number, room in enumerate(self._load.rooms)
-                if (victims := self._on(room)) is not None
+                if (victims := self._victims_on(room)) is not None
             ]
             if not options:
                 return []
@@ -113,7 +113,7 @@
             self._victims += victims
         return self._victims
 
-    def _on(self, room):
+    def _victims_on(self, room):
         demand, key = self._step.step.room_demand, self._step.key
         planned, limit = self._planned[room.worker], self._step.step.tasks_per_worker
         is_held = room.hold is not None and room.hold.step_key != key
@@ -142,7 +142,7 @@
             if run.worker == room.worker:
                 free = free + run.demand
         victims = []
-        for run in self._stoppable(room)[: max(MOST_VICTIMS, demand.accelerators)]:
+        for run in self._stoppable(room)[: max(MAX_VICTIMS, demand.accelerators)]:
             if demand.fits_in(free):
                 break
             victims.append(run)
@@ -164,16 +164,16 @@
         )
 
 
-def test_the_same_runs_are_stopped_as_by_a_look_at_each_worker_and_run():
-    """Guards against an index that leaves out a worker, or stops for what has room."""
+def test_the_same_runs_are_stopped_as_by_an_exhaustive_search():
+    """Guards against an index that omits a worker, or stops runs if there is room."""
     sizes = {True: set(), False: set()}
     for seed in range(LOADS):
         load = RandomLoad(seed)
-        expected = PlainSearch(load).find()
+        expected = ExhaustiveSearch(load).find()
         stoppable = StoppableRuns(load.rooms, load.priority_of)
         found = choose_victims(load.step, load.rooms, load.allowed, stoppable)
         assert found == expected, seed
         sizes[load.step.step.is_gang].add(len(found))
-    # Single tasks and gangs, with no stop, one and several.
+    # The loads cover single tasks and gangs, each with no stop, one stop and several.
     assert {0, 1, 2} <= sizes[True]
     assert {0, 1, 2} <= sizes[False]
--- a/tests/placement/test_rooms.py
+++ b/tests/placement/test_rooms.py
@@ -1,4 +1,4 @@
-"""Room of workers, and the choice among them."""
+"""Room of workers, choice of workers, preemption and copies."""
 
 import pytest
 
@@ -52,7 +52,7 @@
     return place_step(state, rooms, allowed, begin)
 
 
-def test_no_worker_is_given_more_than_it_holds(rooms):
+def test_no_worker_exceeds_its_capacity(rooms):
     book, state = _waiting(Step(20, Amounts(1500, 100)))
     runs = _place(book, state, rooms)
     assert len(runs) == 4
@@ -60,7 +60,7 @@
     assert len(state.waiting) == 16
 
 
-def test_room_is_free_again_when_the_end_is_sure(rooms):
+def test_release_frees_the_room_of_a_run_once(rooms):
     book, state = _waiting(Step(1, Amounts(1500, 100)))
     (run,) = _place(book, state, rooms)
     room = rooms.get(run.worker)
@@ -70,7 +70,7 @@
     assert room.step_counts == {}
 
 
-def test_label_and_advice_are_kept(rooms):
+def test_label_and_advice_limit_the_workers(rooms):
     book, state = _waiting(Step(8, Amounts(1000, 100), label="b"))
     runs = _place(book, state, rooms)
     assert {run.worker for run in runs} == {"w2"}
@@ -78,7 +78,7 @@
     assert {run.worker for run in _place(book, state, rooms, {"w1"})} == {"w1"}
 
 
-def test_tasks_of_a_step_are_kept_apart(rooms):
+def test_tasks_per_worker_is_limited(rooms):
     book, state = _waiting(Step(5, Amounts(100, 100), tasks_per_worker=2))
     runs = _place(book, state, rooms)
     assert len(runs) == 4
@@ -100,13 +100,13 @@
     assert len({run.worker for run in _place(book, state, rooms)}) == 1
 
 
-def test_worker_on_which_a_task_failed_comes_last(rooms):
+def test_avoided_worker_comes_last(rooms):
     book, state = _waiting(Step(1, Amounts(100, 100)))
     state.tasks[0].avoid = {"w1"}
     assert _place(book, state, rooms)[0].worker == "w2"
 
 
-def test_data_draws_a_task_to_its_rack(rooms):
+def test_task_prefers_the_rack_of_its_data(rooms):
     book, state = _waiting(Step(1, Amounts(100, 100), preferred_rack="r1-2"))
     assert _place(book, state, rooms)[0].worker == "w2"
 
@@ -120,14 +120,14 @@
 
 def test_urgent_queues_come_first():
     urgent = Queue("u", "h", "/u/", "pool", 0, 2, 1.5, 0.5, 3.0, False, None)
-    patient = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
+    deferred = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
     _, late = _waiting(Step(1, Amounts(1, 1)), "1" * 16, urgent, 5.0)
-    _, early = _waiting(Step(1, Amounts(1, 1)), "2" * 16, patient, 1.0)
+    _, early = _waiting(Step(1, Amounts(1, 1)), "2" * 16, deferred, 1.0)
     assert order_steps([early, late], 6.0) == [late, early]
 
 
-def test_fillers_are_slowed_until_the_tail_is_kept(rooms):
-    """Users of a lasting task wait too long while a filler works beside it."""
+def test_fillers_are_slowed_until_the_tail_latency_is_within_its_limit(rooms):
+    """Guards against a filler that raises the latency of a lasting task beside it."""
     room = rooms.get("w1")
     lasting = Step(1, Amounts(1000, 100), is_lasting=True, tail_limit_seconds=0.1)
     book, state = _waiting(lasting)
@@ -153,11 +153,11 @@
 # Preemption.
 
 
-def _fill(rooms, worker, tasks, **fields):
-    """Let patient tasks run on a worker, and return their runs."""
-    patient = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
+def _fill_worker(rooms, worker, tasks, **fields):
+    """Start tasks of a deferred queue on a worker, and return their runs."""
+    deferred = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
     step = Step(tasks, Amounts(2000, 100), **fields)
-    book, state = _waiting(step, "2" * 16, patient)
+    book, state = _waiting(step, "2" * 16, deferred)
     runs = []
     for index in range(tasks):
         run = book.begin(state, index, worker, 0.0)
@@ -167,29 +167,29 @@
     return runs
 
 
-def test_urgent_task_takes_the_place_of_one_that_saves_its_progress(rooms):
-    """A door count waits for a comparison to end: all workers were full of them."""
-    kept = _fill(rooms, "w1", 2)
-    saving = _fill(rooms, "w2", 2, has_checkpoints=True)
+def test_urgent_task_preempts_one_with_checkpoints(rooms):
+    """Guards against an urgent job that waits while all workers run long tasks."""
+    without_checkpoints = _fill_worker(rooms, "w1", 2)
+    with_checkpoints = _fill_worker(rooms, "w2", 2, has_checkpoints=True)
     _, state = _waiting(Step(1, Amounts(1500, 100)), "1" * 16)
     assert not may_preempt(state, 0.2)
     assert may_preempt(state, 0.3)
 
     def priority(run):
-        return 2 if run in saving else None
+        return 2 if run in with_checkpoints else None
 
     stoppable = StoppableRuns(rooms, priority)
     (victim,) = choose_victims(state, rooms, None, stoppable)
-    assert victim in saving
-    assert victim not in kept
+    assert victim in with_checkpoints
+    assert victim not in without_checkpoints
     assert choose_victims(state, rooms, {"w1"}, stoppable) == []
     state.preempted_at = 0.3
     assert not may_preempt(state, 0.9)
 
 
-def test_equals_are_not_stopped(rooms):
-    _fill(rooms, "w1", 2, has_checkpoints=True)
-    _fill(rooms, "w2", 2, has_checkpoints=True)
+def test_runs_of_the_same_priority_are_not_stopped(rooms):
+    _fill_worker(rooms, "w1", 2, has_checkpoints=True)
+    _fill_worker(rooms, "w2", 2, has_checkpoints=True)
     _, state = _waiting(Step(1, Amounts(1500, 100)), "1" * 16)
     stoppable = StoppableRuns(rooms, lambda run: 0)
     assert choose_victims(state, rooms, None, stoppable) == []
@@ -199,7 +199,10 @@
 
 
 def test_straggler_of_a_step_that_allows_copies(rooms):
-    """A step waits ten times its usual length for one task on a slow worker."""
+    """Guards against a step that waits for a task on a slow worker.
+
+    The step would take ten times as long as usual.
+    """
     step = Step(3, Amounts(100, 100), allows_copies=True, estimate_seconds=1.0)
     book, state = _waiting(step)
     runs = _place(book, state, rooms)
@@ -227,9 +230,9 @@
 
 
 def test_task_waits_rather_than_failing_again_on_the_same_worker(rooms):
-    # A worker fails each task at once, and so always has room; the others allowed for
-    # the step are full. A comparison for a centre owner used up its four attempts on
-    # that worker within half a second, and was shown as failed.
+    # A worker on which each task fails immediately always has room, while the others
+    # that may run the step are full. A job would use up its four attempts on that
+    # worker within half a second, and fail.
     book, state = _waiting(Step(1, Amounts(1500, 100)))
     rooms.get("w2").processors = 0
     (run,) = _place(book, state, rooms)
@@ -252,9 +255,9 @@
 
 
 @pytest.mark.parametrize(("failing", "worker"), [(1, "w2"), (2, "w0")])
-def test_few_failing_workers_are_left_out(failing, worker):
-    # Of four workers one that fails everything is not used; where two do, the fault
-    # is more likely elsewhere, and leaving them out would halve the pool.
+def test_few_failing_workers_are_excluded(failing, worker):
+    # One failing worker of four is excluded. If two are failing, the cause is more
+    # likely elsewhere, and excluding them would halve the pool.
     rooms = Rooms()
     for number in range(4):
         rooms.add(_room(f"w{number}"))
@@ -269,23 +272,23 @@
     assert run.worker == worker
 
 
-def test_lasting_task_goes_back_rather_than_stay_away(rooms):
-    """A watcher stays away though a worker that may run it has room.
+def test_lasting_task_runs_again_where_it_failed_if_others_are_full(rooms):
+    """Guards against a lasting task that stays down although a worker has room.
 
-    It failed there once, as lasting tasks may at any time; the other workers that may
-    run it are full of tasks that last as well, and it waited for one of them.
+    It failed there once, as lasting tasks may at any time. The other workers that may
+    run it are full of lasting tasks, so it would wait indefinitely.
     """
     book, state = _waiting(Step(1, Amounts(1500, 100), is_lasting=True))
     (run,) = _place(book, state, rooms)
     rooms.get(run.worker).release(run)
     _fail_once(book, state, run)
     other = "w2" if run.worker == "w1" else "w1"
-    _fill(rooms, other, 4, is_lasting=True)
+    _fill_worker(rooms, other, 4, is_lasting=True)
     (again,) = _place(book, state, rooms)
     assert again.worker == run.worker
 
 
-def test_lasting_task_goes_elsewhere_where_it_can(rooms):
+def test_lasting_task_prefers_a_worker_on_which_it_has_not_failed(rooms):
     book, state = _waiting(Step(1, Amounts(1500, 100), is_lasting=True))
     (run,) = _place(book, state, rooms)
     rooms.get(run.worker).release(run)
@@ -294,11 +297,11 @@
     assert again.worker != run.worker
 
 
-def test_task_that_waits_for_another_worker_keeps_no_other_task_waiting(rooms):
-    """One task of a step failed on the only worker with room, and the others waited.
+def test_task_that_waits_for_another_worker_does_not_block_others(rooms):
+    """Guards against a failed task that blocks the other tasks of its step.
 
-    Its turn came first, it found no room where it had not failed, and the tasks behind
-    it, which had failed nowhere, were not looked at.
+    It failed on the only worker with room and comes first in the order. The tasks
+    behind it have not failed on any worker, and must be placed.
     """
     book, state = _waiting(Step(2, Amounts(1500, 100)))
     first, second = _place(book, state, rooms)
@@ -307,6 +310,6 @@
     _fail_once(book, state, first)
     book.drop(second, 2.0)
     other = "w2" if first.worker == "w1" else "w1"
-    _fill(rooms, other, 4)
+    _fill_worker(rooms, other, 4)
     (again,) = _place(book, state, rooms)
     assert (again.key.index, again.worker) == (second.key.index, first.worker)
