--- a/papayapick/placement/failures.py
+++ b/papayapick/placement/failures.py
@@ -4,7 +4,9 @@
 
 __all__ = ["FailureTracker"]
 
+# Number of jobs that must fail on a host before it is put into quarantine.
 _JOBS_PER_HOST = 3
+# Number of hosts on which a job must fail to be itself considered the cause.
 _HOSTS_PER_JOB = 3
 _MAX_QUARANTINED_SHARE = 0.1
 _MIN_QUARANTINE_SECONDS = 60.0
@@ -64,7 +66,7 @@
             return set(self._quarantined)
 
     def hosts_to_avoid(self, job):
-        """Return the hosts on which a job failed or its start was refused."""
+        """Return the hosts on which a job failed or that did not start it."""
         with self._lock:
             failed = self._failed.get(job, set())
             return frozenset(failed | self._refused.get(job, set()))
