--- a/benchmarks/deferred.py
+++ b/benchmarks/deferred.py
@@ -129,7 +129,7 @@
         self.queue.finish(name)
         ran = now - CHECKPOINT_SECONDS - self.began[name]
         self.left[name] = max(1.0, self.left[name] - ran)
-        self.queue.add(running.job.paused())
+        self.queue.add(running.job.requeued())
 
 
 def row(name, day, urgent, deferred):
--- a/papayapick/placement/jobs.py
+++ b/papayapick/placement/jobs.py
@@ -89,7 +89,7 @@
         self.checkpoints = checkpoints
         self.is_borrowing = False
 
-    def paused(self):
+    def requeued(self):
         """Return the job to queue again after its members were checkpointed.
 
         It keeps its arrival, and thereby its place in the order.
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -213,7 +213,7 @@
     def _resume_later(self, shard, item, running):
         self._members.forget(running)
         shard.jobs.finish(item.request_id)
-        shard.jobs.add(running.job.paused())
+        shard.jobs.add(running.job.requeued())
         self._process.executor.submit(self.start_waiting, shard)
 
     def _collect(self, shard, item, running, reports):
--- a/tests/placement/test_gangs.py
+++ b/tests/placement/test_gangs.py
@@ -253,7 +253,7 @@
     starts = []
     for running in pauses:
         queue.finish(running.job.name)
-        queue.add(running.job.paused())
+        queue.add(running.job.requeued())
         starts += names_of(queue.choose_starts(3.0))
     assert starts == ["rush-1", "rush-2"]
 
--- a/tests/quotas/test_shares.py
+++ b/tests/quotas/test_shares.py
@@ -62,7 +62,7 @@
     assert len(pauses) == 2
     for running in pauses:
         queue.finish(running.job.name)
-        queue.add(running.job.paused())
+        queue.add(running.job.requeued())
     assert teams_of(queue.choose_starts(162.0)) == ["second"] * 2
     assert queue.choose_pauses(400.0) == []
 
