--- a/papayapick/placement/holds.py
+++ b/papayapick/placement/holds.py
@@ -86,7 +86,7 @@
         for room in rooms:
             room.hold = None
 
-    def take(self, step_state, allowed=None):
+    def hold_room(self, step_state, allowed=None):
         """Hold room for a step that waits, if it needs a hold.
 
         Parameters
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -137,7 +137,7 @@
 
     def _wait_for_advice(self, step, turn):
         known = self._owner.advising.known_fit(step)
-        is_held = bool(known) and turn.holds.take(step, known) is not None
+        is_held = bool(known) and turn.holds.hold_room(step, known) is not None
         reason = self._ask(step, turn, is_held)
         self._note_wait(step, reason, turn.now)
 
@@ -165,7 +165,7 @@
             return
         self._note_wait(step, WaitReason.ROOM, turn.now)
         lift_exclusions(step, turn.now)
-        free_in = turn.holds.take(step, allowed)
+        free_in = turn.holds.hold_room(step, allowed)
         if free_in is not None:
             self._owner.advising.renew(step, free_in, turn.now)
 
