--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -71,9 +71,9 @@
             self._end(now)
             began = time.perf_counter()
             starts = self.queue.choose_starts(now)
-            requeued = self.queue.choose_pauses(now) if self.has_pauses else ()
+            paused = self.queue.choose_pauses(now) if self.has_pauses else ()
             self.spent.append(time.perf_counter() - began)
-            self._note(now, starts, requeued)
+            self._note(now, starts, paused)
             if now >= BACK:
                 self._note_back(first, now)
             if now % 60 == 0 and now > 1800:
@@ -113,13 +113,13 @@
                 self.queue.add(running.job.requeued())
                 self.waiting[running.job.team] += 1
 
-    def _note(self, now, starts, requeued):
+    def _note(self, now, starts, paused):
         for start in starts:
             self.held[start.job.team] += 1
             self.waiting[start.job.team] -= 1
             seconds = float(self.generator.uniform(0.2, 1.8)) * RUN_SECONDS
             self._later(now + seconds, "end", start)
-        for running in requeued:
+        for running in paused:
             self.pauses += 1
             self._later(now + CHECKPOINT_SECONDS, "paused", running)
 
