--- a/papayapick/entry/probing.py
+++ b/papayapick/entry/probing.py
@@ -60,7 +60,7 @@
             # Lost is what it is known to be; its loss has been logged.
             return False
         lost_at = self._health.lost_at()
-        self._health.note_word()
+        self._health.note_answer()
         if lost_at is not None:
             away = self._clock.monotonic() - lost_at
             STORE_FOUND.write(away_seconds=round(away, 3))
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -243,7 +243,7 @@
         )
 
     def _note_store_answer(self, asked_at):
-        self.store_health.note_word()
+        self.store_health.note_answer()
 
     def _follow_cell(self):
         follow_table(
--- a/papayapick/entry/relays.py
+++ b/papayapick/entry/relays.py
@@ -97,7 +97,7 @@
                 self._note_failure(partition, asked_at)
                 failure = error
             else:
-                self._host.store_health.note_word()
+                self._host.store_health.note_answer()
                 return found
         for peer in self._candidates():
             try:
--- a/papayapick/entry/store_health.py
+++ b/papayapick/entry/store_health.py
@@ -24,7 +24,7 @@
         self._failed_at = None
         self._lost_at = None
 
-    def note_word(self):
+    def note_answer(self):
         """Note that the store has answered."""
         self._answered_at = self._clock.monotonic()
         self._lost_at = None
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -283,7 +283,7 @@
         """Take in a commit, or with None one that the store did not take."""
         if seconds is not None:
             self.recording.note_commit(seconds)
-            self.host.store_health.note_word()
+            self.host.store_health.note_answer()
         else:
             self.host.store_health.note_failure()
             self.recording.note_failure()
--- a/tests/entry/test_answers.py
+++ b/tests/entry/test_answers.py
@@ -18,7 +18,7 @@
 def host():
     clock = ManualClock(100.0)
     health = StoreHealth(clock)
-    health.note_word()
+    health.note_answer()
     return SimpleNamespace(clock=clock, board=StateBoard(clock), store_health=health)
 
 
--- a/tests/entry/test_probing.py
+++ b/tests/entry/test_probing.py
@@ -78,7 +78,7 @@
 
 
 def lose(host):
-    host.store_health.note_word()
+    host.store_health.note_answer()
     host.clock.advance(0.1)
     host.store.is_down = True
     host.store_health.note_failure()
@@ -107,7 +107,7 @@
 
 def test_store_that_answers_is_not_asked(host):
     # The probe must cost nothing while all is well: each call is paid for.
-    host.store_health.note_word()
+    host.store_health.note_answer()
     clock = StoppingClock(host.stopping, looks=4)
     probe = StoreProbe(host.store, host.store_health, clock, host.stopping, int)
     probe.run()
--- a/tests/entry/test_relays.py
+++ b/tests/entry/test_relays.py
@@ -55,7 +55,7 @@
     def note_failure(self):
         self.is_down = True
 
-    def note_word(self):
+    def note_answer(self):
         self.is_down = False
 
 
--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -56,7 +56,7 @@
     def tell(self, owner):
         pass
 
-    def note_word(self):
+    def note_answer(self):
         pass
 
     def transact(self, expectations, writes, seconds=None):
