--- a/papayapick/entry/advisers.py
+++ b/papayapick/entry/advice_dispatch.py
@@ -12,13 +12,13 @@
 from papayapick.wire import PeerDisconnected, PeerUnreachable
 from papayapick.wire.messages import AdviceReply, Ticket
 
-__all__ = ["AdviceDesk", "Adviser"]
+__all__ = ["AdviceDispatcher", "SerialAdviceClient"]
 
 # Hosts answer a new owner's first beats within this time.
 _ACQUAINTED_SECONDS = 0.4
 
 
-class Adviser:
+class SerialAdviceClient:
     """Queue calls: the service serves one at a time for each calling host.
 
     Parameters
@@ -71,7 +71,7 @@
         return self.due < other.due
 
 
-class AdviceDesk:
+class AdviceDispatcher:
     """Give an owner's questions out to the hosts, and answer those of others.
 
     Questions wait here until a host has time for them. Given out at once, all that
@@ -84,11 +84,11 @@
     pool : HttpPool
     """
 
-    __slots__ = ("_adviser", "_alone_since", "_host", "_lines", "_lock", "_seconds")
+    __slots__ = ("_own_client", "_alone_since", "_host", "_lines", "_lock", "_seconds")
 
     def __init__(self, host, pool):
         self._host = host
-        self._adviser = Adviser(host.settings.advice_address, pool)
+        self._own_client = SerialAdviceClient(host.settings.advice_address, pool)
         self._lock = threading.Lock()
         # What the calls that this host was given still take.
         self._seconds = 0.0
@@ -230,7 +230,7 @@
     def _ask_through(self, peer, question):
         key, workers, expected = question.key, question.workers, question.expected
         if peer is None:
-            return self._adviser.ask(str(key), workers, expected)
+            return self._own_client.ask(str(key), workers, expected)
         return self._host.peers.ask_advice(peer, key, workers, expected)
 
     def _pass(self, done, peer, question):
@@ -279,7 +279,7 @@
         expected = query.expected_milliseconds / 1000
         with self._lock:
             self._add(None, expected)
-        asked = self._adviser.ask(query.step, list(query.workers), expected)
+        asked = self._own_client.ask(query.step, list(query.workers), expected)
 
         def note(done):
             self._note_done(None, expected)
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -8,7 +8,7 @@
 from papayapick.clients.http import HttpPool
 from papayapick.clock import BootClock
 from papayapick.entry.acceptance import Acceptance
-from papayapick.entry.advisers import AdviceDesk
+from papayapick.entry.advice_dispatch import AdviceDispatcher
 from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.application import Application
 from papayapick.entry.board import StateBoard
@@ -94,7 +94,7 @@
             self.relayed_store, self.clock, self.stopping, self.executor
         )
         self.acceptance = Acceptance(self.relayed_store, self.writer, self.board)
-        self.advice = AdviceDesk(self, HttpPool(_WORKER_CALL_SECONDS))
+        self.advice = AdviceDispatcher(self, HttpPool(_WORKER_CALL_SECONDS))
         self.peers = None
         self.store_health = StoreHealth(self.clock)
         self._probe = StoreProbe(
--- a/tests/entry/test_advisers.py
+++ b/tests/entry/test_advice_dispatch.py
@@ -5,7 +5,7 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.entry.advisers import AdviceDesk
+from papayapick.entry.advice_dispatch import AdviceDispatcher
 from papayapick.jobs.documents import StepKey
 from papayapick.pool.exceptions import AdviceNotNeeded
 from papayapick.wire import PeerDisconnected, PeerUnreachable
@@ -77,7 +77,7 @@
     gone = Peer("gone", error(address="gone"))
     other = Peer("other")
     gone.advice_seconds = -2.0
-    desk = AdviceDesk(Host(gone, other), pool=None)
+    desk = AdviceDispatcher(Host(gone, other), pool=None)
     assert desk.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
     assert desk.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
     assert (gone.asked, other.asked) == (1, 2)
@@ -89,7 +89,7 @@
     other = Peer("other")
     back.advice_seconds = -2.0
     host = Host(back, other)
-    desk = AdviceDesk(host, pool=None)
+    desk = AdviceDispatcher(host, pool=None)
     desk.ask(KEY, ["w1"], 0.1).result(1)
     back.error = None
     host.clock.advance(1.0)
@@ -101,7 +101,7 @@
 def test_refusal_of_the_service_is_told():
     # The service itself gave no advice: another host would hear the same.
     peer = Peer("p", ValueError("no advice"))
-    desk = AdviceDesk(Host(peer), pool=None)
+    desk = AdviceDispatcher(Host(peer), pool=None)
     with pytest.raises(ValueError, match="no advice"):
         desk.ask(KEY, ["w1"], 0.1).result(1)
     assert peer.asked == 1
@@ -133,9 +133,9 @@
 def alone():
     """Return a desk without other hosts, and who asks for it."""
     host = Host()
-    desk = AdviceDesk(host, pool=None)
-    desk._adviser = Turns()
-    return host, desk, desk._adviser
+    desk = AdviceDispatcher(host, pool=None)
+    desk._own_client = Turns()
+    return host, desk, desk._own_client
 
 
 def test_urgent_question_goes_before_patient_ones_that_wait():
--- a/tests/entry/test_advice_turns.py
+++ b/tests/entry/test_advice_turns.py
@@ -71,7 +71,7 @@
     host = AdvisedHost(peers=3, queue_of=None)
     host.hear_peers()
     asked = []
-    through, own = host.ask_advice, host.advice._adviser.ask
+    through, own = host.ask_advice, host.advice._own_client.ask
 
     def ask_through(peer, key, workers, expected):
         asked.append(key)
@@ -83,7 +83,7 @@
         host.advise()
         return own(*question)
 
-    host.ask_advice, host.advice._adviser.ask = ask_through, ask_slowly
+    host.ask_advice, host.advice._own_client.ask = ask_through, ask_slowly
     for number in range(4):
         _ask(host, number, LONG_SECONDS)
     assert len(asked) == 3
--- a/tests/pool/advisers.py
+++ b/tests/pool/advisers.py
@@ -3,7 +3,7 @@
 from concurrent.futures import Future
 from types import SimpleNamespace
 
-from papayapick.entry.advisers import AdviceDesk
+from papayapick.entry.advice_dispatch import AdviceDispatcher
 from papayapick.wire.messages import AdviceReply, Ticket
 from tests.pool.standins import Host
 
@@ -55,8 +55,8 @@
         )
         self._all = [_peer(f"p{number}") for number in range(peers)]
         self._advisers = {peer.name: SerialAdviser(self.clock) for peer in self._all}
-        self.advice = AdviceDesk(self, None)
-        self.advice._adviser = self._own = SerialAdviser(self.clock)
+        self.advice = AdviceDispatcher(self, None)
+        self.advice._own_client = self._own = SerialAdviser(self.clock)
 
     def ask_advice(self, peer, key, workers, expected):
         answer = Future()
