--- a/papayapick/entry/advice_dispatch.py
+++ b/papayapick/entry/advice_dispatch.py
@@ -140,7 +140,7 @@
                 line[:] = [one for one in line if one.key != question.key]
                 heapq.heapify(line)
 
-    def note_heard(self):
+    def note_peer_answer(self):
         """Give out what waits: another host was heard, and may have time."""
         self._give_out_soon()
 
@@ -223,7 +223,9 @@
             # a moment: each question would be sent to it in turn, 0.2 s apart.
             if peer.advice_failed_at < peer.answered_at:
                 is_far = peer.region != settings.region
-                load = HostLoad(peer, peer.advice_seconds, peer.name in owners, is_far)
+                load = HostLoad(
+                    peer, peer.pending_advice_seconds, peer.name in owners, is_far
+                )
                 loads.append(load)
         return loads
 
@@ -271,7 +273,7 @@
         if peer is None:
             self._seconds += seconds
         else:
-            peer.advice_seconds += seconds
+            peer.pending_advice_seconds += seconds
 
     def answer(self, query):
         """Return a future of the reply to another host's question."""
--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -202,7 +202,7 @@
         self._note_peer_clock(answer.clock_milliseconds)
         self._peer.answered_at = self._host.clock.monotonic()
         self._peer.store_age = answer.store_age_milliseconds / 1000
-        self._host.advice.note_heard()
+        self._host.advice.note_peer_answer()
         self._owner.recording.note_told(self._peer.name, may_lack_records)
         self._owner.note_peer(self._peer, answer.epoch, asked_at)
         return True
--- a/papayapick/entry/peers.py
+++ b/papayapick/entry/peers.py
@@ -40,7 +40,7 @@
     __slots__ = (
         "address",
         "advice_failed_at",
-        "advice_seconds",
+        "pending_advice_seconds",
         "answered_at",
         "client",
         "failed_at",
@@ -67,7 +67,7 @@
         # Seconds since the store last answered it, as it said.
         self.store_age = float("inf")
         # What the calls of the advice service that it was given still take.
-        self.advice_seconds = 0.0
+        self.pending_advice_seconds = 0.0
 
 
 class Peers:
--- a/tests/entry/test_advice_dispatch.py
+++ b/tests/entry/test_advice_dispatch.py
@@ -27,7 +27,7 @@
         self.error = error
         self.answered_at = 99.5
         self.advice_failed_at = float("-inf")
-        self.advice_seconds = -1.0
+        self.pending_advice_seconds = -1.0
         self.region = "south"
         self.asked = 0
 
@@ -76,18 +76,18 @@
     # result: urgent steps waited up to a second for advice.
     gone = Peer("gone", error(address="gone"))
     other = Peer("other")
-    gone.advice_seconds = -2.0
+    gone.pending_advice_seconds = -2.0
     desk = AdviceDispatcher(Host(gone, other), pool=None)
     assert desk.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
     assert desk.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
     assert (gone.asked, other.asked) == (1, 2)
-    assert gone.advice_seconds == -2.0
+    assert gone.pending_advice_seconds == -2.0
 
 
 def test_host_that_answers_again_is_asked_again():
     back = Peer("back", PeerUnreachable(address="back"))
     other = Peer("other")
-    back.advice_seconds = -2.0
+    back.pending_advice_seconds = -2.0
     host = Host(back, other)
     desk = AdviceDispatcher(host, pool=None)
     desk.ask(KEY, ["w1"], 0.1).result(1)
--- a/tests/entry/test_backlog_news.py
+++ b/tests/entry/test_backlog_news.py
@@ -51,7 +51,7 @@
     host = Host()
     host.clock = clock
     host.settings.host_name = "h1"
-    host.advice = SimpleNamespace(note_heard=lambda: None)
+    host.advice = SimpleNamespace(note_peer_answer=lambda: None)
     owner = PoolOwner(host, PoolRow("pool", "h1", 3, "a:1", 9))
     try:
         line = OwnerLine(host, owner, Peer(answers))
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -66,7 +66,7 @@
     def __init__(self, told):
         self.host, self.owner = owner_with(job())
         self.host.settings.host_name = "h1"
-        self.host.advice = SimpleNamespace(note_heard=lambda: None)
+        self.host.advice = SimpleNamespace(note_peer_answer=lambda: None)
         self.host.board = StateBoard(self.host.clock)
         self.owner.has_read_state = True
         self.told = told
--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -50,7 +50,9 @@
         clock=clock,
         store=FakeStore(version=4),
         settings=SimpleNamespace(host_name="h1"),
-        advice=SimpleNamespace(note_heard=lambda: host.heard.append(clock.monotonic())),
+        advice=SimpleNamespace(
+            note_peer_answer=lambda: host.heard.append(clock.monotonic())
+        ),
         heard=[],
     )
     host.peers = Peers(host, None, SimpleNamespace(host="h1"), None)
--- a/tests/pool/advisers.py
+++ b/tests/pool/advisers.py
@@ -75,7 +75,7 @@
         self.live_peers = self._all
         for peer in self._all:
             peer.answered_at = self.clock.monotonic()
-        self.advice.note_heard()
+        self.advice.note_peer_answer()
 
     def advise(self):
         """Answer what is due."""
@@ -88,7 +88,7 @@
         name=name,
         answered_at=0.0,
         advice_failed_at=float("-inf"),
-        advice_seconds=0.0,
+        pending_advice_seconds=0.0,
         processors=1.0,
         region="south",
         store_age=0.0,
