--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -313,11 +313,11 @@
         """Tell the other hosts of a pool that this one has taken."""
         self._lines.renew(owner)
 
-    def look_at_owner(self, owner):
+    def verify_ownership(self, owner):
         """Look whether the pool is still this host's."""
-        self.executor.submit(self._look_at_owner, owner)
+        self.executor.submit(self._verify_ownership, owner)
 
-    def _look_at_owner(self, owner):
+    def _verify_ownership(self, owner):
         asked_at = self.clock.monotonic()
         try:
             row = read_pool(self.store, owner.pool)
--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -105,7 +105,7 @@
         """Ask whether the pool was lost: a worker has seen a newer epoch."""
         WORKER_FENCED.write(worker=link.worker, epoch=self._owner.row.epoch)
         self._owner.standing.doubt()
-        self._owner.host.look_at_owner(self._owner)
+        self._owner.host.verify_ownership(self._owner)
 
     def note_rebirth(self, link, born, listed=frozenset()):
         """Take note that what ran on a worker is gone, and of its new life.
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -245,7 +245,7 @@
         UPKEEP_NOT_BEGUN.write(**fields, reason=outcome.value)
         if outcome == UpkeepOutcome.FENCED:
             owner.standing.doubt()
-            owner.host.look_at_owner(owner)
+            owner.host.verify_ownership(owner)
 
     def _write_record(self, key, record):
         write = RowWrite(WAVES_TABLE, self._owner.pool, key, record.as_value())
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -70,7 +70,7 @@
     def lost_at(self):
         return self.lost_since
 
-    def look_at_owner(self, owner):
+    def verify_ownership(self, owner):
         pass
 
 
