--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -298,7 +298,7 @@
             POOL_UNREAD.write(pool=self.pool, epoch=row.epoch, error=str(error))
             owner.give_up()
             return
-        self._host.tell(owner)
+        self._host.broadcast(owner)
 
 
 def _is_listening(address):
--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -78,7 +78,7 @@
         for line in lines:
             line.wake()
 
-    def tell(self, owner):
+    def broadcast(self, owner):
         """Tell all hosts what has changed in an owner's pool."""
         self._note_backlogs(owner)
         news = owner.news.take()
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -331,9 +331,9 @@
         else:
             self._candidacies[owner.pool].note_row(row)
 
-    def tell(self, owner):
+    def broadcast(self, owner):
         """Tell all hosts what has changed in an owner's pool."""
-        self._lines.tell(owner)
+        self._lines.broadcast(owner)
 
     def is_owned_by(self, row):
         """Return whether the host that a row names says that it owns the pool."""
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -40,7 +40,7 @@
                 begin = owner.now()
                 self._decide(begin)
                 took = owner.now() - begin
-            owner.host.tell(owner)
+            owner.host.broadcast(owner)
             if owner.book.changed:
                 owner.journal.wake()
             self._rest_after(took)
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -235,7 +235,7 @@
     for _ in range(30):
         owning.host.clock.advance(0.1)
         owning.note_all_taken_in()
-        owning.lines.tell(owning.owner)
+        owning.lines.broadcast(owning.owner)
     assert owning.host.board.waiting(QUEUE) == 1
 
 
@@ -243,7 +243,7 @@
 def test_owner_that_has_not_read_its_state_tells_no_number(host, owning, is_local):
     """A new owner with an empty book said that nothing waits."""
     owning.owner.has_read_state = False
-    owning.lines.tell(owning.owner)
+    owning.lines.broadcast(owning.owner)
     owning.beat()
     owning.beat()
     host.board = owning.host.board if is_local else host.board
@@ -258,11 +258,11 @@
     board = owning.host.board if is_local else host.board
     board.note_backlogs("pool", 2, {"q": QueueBacklog(500, 9)})
     owning.owner.has_read_state = False
-    owning.lines.tell(owning.owner)
+    owning.lines.broadcast(owning.owner)
     owning.beat()
     assert board.retry_after("pool", "q") == 9
     owning.owner.has_read_state = True
-    owning.lines.tell(owning.owner)
+    owning.lines.broadcast(owning.owner)
     owning.beat()
     assert board.retry_after("pool", "q") == 0
 
--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -204,7 +204,7 @@
 def test_news_of_a_pool_goes_over_its_own_lines_only(two_pools):
     """Each status crossed the link between regions once for each pool of its host."""
     lines, candidacies = two_pools
-    lines.tell(candidacies["a"].owner)
+    lines.broadcast(candidacies["a"].owner)
     told = {one._owner.pool: one._news for one in lines._lines.values()}
     assert told == {"a": {"a-job": "running"}, "b": {}}
 
--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -53,7 +53,7 @@
     def queue_of(self, document):
         return QUEUE
 
-    def tell(self, owner):
+    def broadcast(self, owner):
         pass
 
     def note_answer(self):
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -50,7 +50,7 @@
     def __init__(self, workers, cut):
         self.host = Host()
         self.rounds = 0
-        self.host.tell = self._note_round
+        self.host.broadcast = self._note_round
         for number in range(workers):
             register(self.host, f"w{number}")
         self.owner = PoolOwner(self.host, PoolRow("pool", "h1", 3, "a:1", 9), True)
