--- /dev/null
+++ b/papayapick/entry/beats.py
@@ -0,0 +1,260 @@
+"""Send the beats of an owned pool, with its changed job states, to the other hosts."""
+
+import threading
+
+from papayapick.entry.events import HOST_REACHED, HOST_UNREACHED
+from papayapick.wire.exceptions import PeerNotListening, WireError
+from papayapick.wire.messages import JobNews, PoolBeat, QueueLoad
+
+__all__ = ["BeatBroadcaster", "BeatSender"]
+
+# Other hosts consider an owner silent after three missed beats.
+BEAT_SECONDS = 0.2
+_RETRY_SECONDS = 0.3
+# Changes within this time are sent in one message.
+_BATCH_SECONDS = 0.015
+_STATES_PER_BEAT = 500
+_ANSWER_TIMEOUT_SECONDS = 0.6
+# Longer than any restart and than most network partitions between regions. After a
+# longer partition the hosts behind it must register again.
+_REMOVE_AFTER_SECONDS = 600.0
+
+
+class BeatBroadcaster:
+    """Run one sender for each pair of a pool that this host owns and another host.
+
+    Parameters
+    ----------
+    host : EntryHost
+    candidacies : dict of str to Candidacy
+        By pool; grows as pools are configured.
+    """
+
+    __slots__ = ("_candidacies", "_host", "_lock", "_senders")
+
+    def __init__(self, host, candidacies):
+        self._host = host
+        self._candidacies = candidacies
+        self._senders = {}
+        self._lock = threading.Lock()
+
+    def announce(self, owner):
+        """Start to send the beats and all job states of a pool just taken over."""
+        self._host.board.note(owner.news.all_states())
+        self.start_missing_senders()
+
+    def start_missing_senders(self):
+        """Start the senders to newly registered hosts and for newly owned pools."""
+        with self._lock:
+            peers = self._host.peers.all()
+            self._drop_ended(peers)
+            for candidacy in list(self._candidacies.values()):
+                if not candidacy.is_owner:
+                    continue
+                for peer in peers:
+                    self._start_sender(candidacy.owner, peer)
+
+    def _drop_ended(self, peers):
+        """Drop the senders whose task has ended or ends at its next iteration."""
+        self._senders = {
+            (owner, peer): sender
+            for (owner, peer), sender in self._senders.items()
+            if peer in peers and not owner.is_stopped
+        }
+
+    def _start_sender(self, owner, peer):
+        # Keyed by object, not by name: a host that registered again is a new peer at
+        # the same address, and the sender to the previous one has ended.
+        if (owner, peer) in self._senders:
+            return
+        sender = BeatSender(self._host, owner, peer)
+        self._senders[owner, peer] = sender
+        self._host.executor.submit(sender.run)
+
+    def send_all_now(self):
+        """Make all senders send a beat at once instead of at their next interval."""
+        with self._lock:
+            senders = list(self._senders.values())
+        for sender in senders:
+            sender.wake()
+
+    def broadcast(self, owner):
+        """Send the changed job states of an owner's pool to all other hosts."""
+        self._note_backlogs(owner)
+        states = owner.news.take()
+        if not states:
+            return
+        self._host.board.note(states)
+        with self._lock:
+            senders = [
+                sender for (one, _), sender in self._senders.items() if one is owner
+            ]
+        for sender in senders:
+            sender.enqueue(states)
+
+    def _note_backlogs(self, owner):
+        # Runs without changed states too: otherwise the count of a pool without
+        # changes would become too old to be returned to callers.
+        if not owner.has_read_state:
+            return
+        backlogs, known_at = _read_backlogs(owner)
+        self._host.board.note_backlogs(owner.pool, owner.row.epoch, backlogs, known_at)
+
+
+class BeatSender:
+    """Send beats for one pool to one host, as a task of its own.
+
+    Parameters
+    ----------
+    host : EntryHost
+    owner : PoolOwner
+    peer : Peer
+    """
+
+    __slots__ = (
+        "_host",
+        "_lock",
+        "_owner",
+        "_peer",
+        "_peer_clock_lead",
+        "_pending_states",
+        "_removal_tried_at",
+        "_unanswered_since",
+        "_wakeup",
+    )
+
+    def __init__(self, host, owner, peer):
+        self._host = host
+        self._owner = owner
+        self._peer = peer
+        self._pending_states = owner.news.all_states()
+        self._lock = threading.Lock()
+        self._wakeup = threading.Event()
+        self._unanswered_since = None
+        self._removal_tried_at = None
+        # Lower bound, in seconds, of the difference between the peer's monotonic clock
+        # and this host's; None before the first answer.
+        self._peer_clock_lead = None
+
+    @property
+    def peer(self):
+        """Return the host that receives the beats."""
+        return self._peer
+
+    def enqueue(self, states):
+        """Add changed job states to the next beat and wake the task."""
+        with self._lock:
+            self._pending_states.update(states)
+        self.wake()
+
+    def wake(self):
+        """Wake the task before the end of the beat interval."""
+        self._wakeup.set()
+
+    def run(self):
+        """Send beats until the owner stops or the row of the host is removed."""
+        clock = self._host.clock
+        while not self._owner.is_stopped and self._peer in self._host.peers.all():
+            is_woken = clock.wait(self._wakeup, BEAT_SECONDS)
+            if is_woken:
+                self._owner.pause(_BATCH_SECONDS)
+            self._wakeup.clear()
+            if not self._beat():
+                self._owner.pause(_RETRY_SECONDS)
+
+    def _beat(self):
+        """Send one beat; return whether the peer answered."""
+        with self._lock:
+            sent = dict(list(self._pending_states.items())[:_STATES_PER_BEAT])
+            for identifier in sent:
+                del self._pending_states[identifier]
+            if self._pending_states:
+                self._wakeup.set()
+        backlogs, known_at = _read_backlogs(self._owner)
+        may_lack_records = self._owner.may_lack_records()
+        beat = PoolBeat(
+            pool=self._owner.pool,
+            epoch=self._owner.row.epoch,
+            host=self._host.settings.host_name,
+            news=[JobNews(identifier=key, status=sent[key]) for key in sent],
+            queue_loads=[
+                QueueLoad(
+                    queue=queue,
+                    waiting=backlog.waiting,
+                    retry_after_seconds=backlog.retry_after,
+                )
+                for queue, backlog in backlogs.items()
+            ],
+            gives_way=self._owner.standing.gives_way(),
+            may_lack_records=may_lack_records,
+            has_read_state=self._owner.has_read_state,
+            known_at_milliseconds=self._to_peer_clock(known_at),
+        )
+        sent_at = self._host.clock.monotonic()
+        try:
+            answer = self._peer.client.ask(beat, _ANSWER_TIMEOUT_SECONDS)
+        except WireError as error:
+            self._note_no_answer(error)
+            if isinstance(error, PeerNotListening):
+                self._owner.recording.note_gone(self._peer.name)
+            if not isinstance(error, OSError):
+                self._peer.client.close()
+            with self._lock:
+                self._pending_states = {**sent, **self._pending_states}
+            return False
+        self._note_answer()
+        self._note_peer_clock(answer.clock_milliseconds)
+        self._peer.answered_at = self._host.clock.monotonic()
+        self._peer.store_age = answer.store_age_milliseconds / 1000
+        self._host.advice.note_peer_answer()
+        self._owner.recording.note_told(self._peer.name, may_lack_records)
+        self._owner.note_peer(self._peer, answer.epoch, sent_at)
+        return True
+
+    def _to_peer_clock(self, moment):
+        """Return a time in milliseconds of the peer's clock, or 0 if it is unknown.
+
+        Messages can be delayed for seconds. If the beat carried an age instead of a
+        time, a delayed count would look fresh on arrival.
+        """
+        if moment is None or self._peer_clock_lead is None:
+            return 0
+        return max(0, int((moment + self._peer_clock_lead) * 1000))
+
+    def _note_peer_clock(self, milliseconds):
+        is_first = self._peer_clock_lead is None
+        # The peer read its clock before its answer arrived here, so the difference is
+        # underestimated and no count is reported as newer than it is.
+        self._peer_clock_lead = milliseconds / 1000 - self._host.clock.monotonic()
+        if is_first:
+            # The beat just answered carried no time of its counts.
+            self.wake()
+
+    def _note_answer(self):
+        since, self._unanswered_since = self._unanswered_since, None
+        self._removal_tried_at = None
+        if since is not None:
+            silent = self._host.clock.monotonic() - since
+            HOST_REACHED.write(
+                peer=self._peer.name,
+                pool=self._owner.pool,
+                silent_seconds=round(silent, 3),
+            )
+
+    def _note_no_answer(self, error):
+        now = self._host.clock.monotonic()
+        self._peer_clock_lead = None
+        if self._unanswered_since is None:
+            self._unanswered_since = self._removal_tried_at = now
+            HOST_UNREACHED.write(
+                peer=self._peer.name, pool=self._owner.pool, error=str(error)
+            )
+        elif now - self._removal_tried_at > _REMOVE_AFTER_SECONDS:
+            self._removal_tried_at = now
+            self._host.peers.remove_row(self._peer)
+
+
+def _read_backlogs(owner):
+    """Return the backlogs of an owner's queues and the time as of which they hold."""
+    with owner.lock:
+        return owner.news.backlogs(), owner.news.known_at
--- a/papayapick/entry/peers.py
+++ b/papayapick/entry/peers.py
@@ -122,7 +122,7 @@
         if known is not None:
             known.client.close()
 
-    def forget(self, peer):
+    def remove_row(self, peer):
         """Remove the row of a host that was silent for long.
 
         Hosts are replaced for good by the dozen a day; each row that stayed had every
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -11,6 +11,7 @@
 from papayapick.entry.advice_dispatch import AdviceDispatcher
 from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.application import Application
+from papayapick.entry.beats import BeatBroadcaster
 from papayapick.entry.board import StateBoard
 from papayapick.entry.candidacy import Candidacy
 from papayapick.entry.configuration import ConfigurationWatcher
@@ -26,7 +27,6 @@
     follow_table,
 )
 from papayapick.entry.joining import cell_key, register
-from papayapick.entry.lines import OwnerLines
 from papayapick.entry.metrics import (
     CONFIGURATION_AGE_SECONDS,
     CONFIGURATION_VERSION,
@@ -107,7 +107,7 @@
         self._relay = StoreRelay(self)
         self._candidacies = {}
         self._was_ready = False
-        self._lines = OwnerLines(self, self._candidacies)
+        self._beats = BeatBroadcaster(self, self._candidacies)
         self._queues = KnownQueues()
         self._front = FrontServer(settings, Application(self))
         self._peer_server = None
@@ -141,7 +141,7 @@
         owner.leave()
         # All at the same time: who hears of it first would have the pool before the
         # largest host, which waits for nobody, knows that it is wanted.
-        self._lines.beat_now()
+        self._beats.send_all_now()
         rest = self.settings.grace_seconds - _GRACE_SLACK_SECONDS - _GIVE_UP_SECONDS
         owner.pause(rest)
         if not owner.is_stopped:
@@ -283,7 +283,7 @@
             if found is not None and found.pool in self._candidacies:
                 self._candidacies[found.pool].note_row(found)
         self.knows_cell = True
-        self._lines.open()
+        self._beats.start_missing_senders()
 
     def _note_cell_answer(self, asked_at):
         self._note_store_answer(asked_at)
@@ -311,7 +311,7 @@
 
     def note_owner(self, owner):
         """Tell the other hosts of a pool that this one has taken."""
-        self._lines.renew(owner)
+        self._beats.announce(owner)
 
     def verify_ownership(self, owner):
         """Look whether the pool is still this host's."""
@@ -333,7 +333,7 @@
 
     def broadcast(self, owner):
         """Tell all hosts what has changed in an owner's pool."""
-        self._lines.broadcast(owner)
+        self._beats.broadcast(owner)
 
     def is_owned_by(self, row):
         """Return whether the host that a row names says that it owns the pool."""
--- a/tests/entry/test_backlog_news.py
+++ b/tests/entry/test_backlog_news.py
@@ -4,8 +4,8 @@
 
 from papayapick.clock import ManualClock
 from papayapick.entry.answers import PeerAnswers
+from papayapick.entry.beats import BeatSender
 from papayapick.entry.board import StateBoard
-from papayapick.entry.lines import OwnerLine
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.ownership.pools import PoolRow
 from papayapick.placement.backlog import QueueBacklog
@@ -54,7 +54,7 @@
     host.advice = SimpleNamespace(note_peer_answer=lambda: None)
     owner = PoolOwner(host, PoolRow("pool", "h1", 3, "a:1", 9))
     try:
-        line = OwnerLine(host, owner, Peer(answers))
+        line = BeatSender(host, owner, Peer(answers))
         assert line._beat()
         assert line._beat()
         assert board.waiting(QUEUE) == 393
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -8,8 +8,8 @@
 from papayapick.clock import ManualClock
 from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.application import Application
+from papayapick.entry.beats import BeatBroadcaster, BeatSender
 from papayapick.entry.board import StateBoard
-from papayapick.entry.lines import OwnerLine, OwnerLines
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.placement.backlog import QueueBacklog
 from papayapick.wire.exceptions import PeerTimeout
@@ -77,8 +77,8 @@
         )
         self.answers = PeerAnswers(told, {"pool": candidacy}, None)
         self.name, self.client = "h2", self
-        self.lines = OwnerLines(self.host, {})
-        self.line = OwnerLine(self.host, self.owner, self)
+        self.broadcaster = BeatBroadcaster(self.host, {})
+        self.sender = BeatSender(self.host, self.owner, self)
 
     def ask(self, beat, seconds):
         """Stand for the way to the other host."""
@@ -101,7 +101,7 @@
         self.owner.standing.note_confirmed(now)
 
     def beat(self):
-        self.line._beat()
+        self.sender._beat()
 
 
 @pytest.fixture
@@ -136,7 +136,7 @@
 def test_host_that_was_told_says_how_many_wait(host, owning):
     """A host knew the clock of its owner only after some beats, and told no number."""
     owning.beat()
-    assert owning.line._wakeup.is_set()
+    assert owning.sender._wakeup.is_set()
     owning.beat()
     status, _, body = count(host)
     assert (status, body) == ("200 OK", {"queued_jobs": 1})
@@ -215,7 +215,7 @@
 def test_number_from_later_than_now_is_not_told(host, owning):
     """A host had another clock than the one that its owner knew."""
     owning.beat()
-    owning.line._peer_clock_lead += 60.0
+    owning.sender._peer_clock_lead += 60.0
     owning.beat()
     assert count(host)[0] == "503 Service Unavailable"
 
@@ -235,7 +235,7 @@
     for _ in range(30):
         owning.host.clock.advance(0.1)
         owning.note_all_taken_in()
-        owning.lines.broadcast(owning.owner)
+        owning.broadcaster.broadcast(owning.owner)
     assert owning.host.board.waiting(QUEUE) == 1
 
 
@@ -243,7 +243,7 @@
 def test_owner_that_has_not_read_its_state_tells_no_number(host, owning, is_local):
     """A new owner with an empty book said that nothing waits."""
     owning.owner.has_read_state = False
-    owning.lines.broadcast(owning.owner)
+    owning.broadcaster.broadcast(owning.owner)
     owning.beat()
     owning.beat()
     host.board = owning.host.board if is_local else host.board
@@ -258,11 +258,11 @@
     board = owning.host.board if is_local else host.board
     board.note_backlogs("pool", 2, {"q": QueueBacklog(500, 9)})
     owning.owner.has_read_state = False
-    owning.lines.broadcast(owning.owner)
+    owning.broadcaster.broadcast(owning.owner)
     owning.beat()
     assert board.retry_after("pool", "q") == 9
     owning.owner.has_read_state = True
-    owning.lines.broadcast(owning.owner)
+    owning.broadcaster.broadcast(owning.owner)
     owning.beat()
     assert board.retry_after("pool", "q") == 0
 
