--- a/papayapick/entry/acceptance.py
+++ b/papayapick/entry/acceptance.py
@@ -27,15 +27,15 @@
     ----------
     store : RelayedStore
     writer : GroupWriter
-    board : StateBoard
+    job_states : JobStateCache
     """
 
-    __slots__ = ("_board", "_store", "_writer")
+    __slots__ = ("_job_states", "_store", "_writer")
 
-    def __init__(self, store, writer, board):
+    def __init__(self, store, writer, job_states):
         self._store = store
         self._writer = writer
-        self._board = board
+        self._job_states = job_states
 
     def submit(self, document):
         """Store a job; the same id again is the same job.
@@ -50,11 +50,11 @@
         QueueFull, NotAccepted, AcceptanceUnknown, StateUnknown
         """
         identifier = document.identifier
-        if self._board.state(identifier) is not None:
+        if self._job_states.state(identifier) is not None:
             JOB_KNOWN.write(request_id=identifier, queue=document.queue, source="board")
             return False
         partition = job_partition(document.pool, identifier)
-        retry_after = self._board.retry_after(document.pool, document.queue)
+        retry_after = self._job_states.retry_after(document.pool, document.queue)
         if retry_after and not self._is_stored(partition, identifier):
             raise QueueFull(queue=document.queue, retry_after=retry_after)
         expectation = Expectation(JOBS_TABLE, partition, identifier, 0)
@@ -62,7 +62,7 @@
         is_new = _wait(self._writer.submit(expectation, write))
         if not is_new:
             JOB_KNOWN.write(request_id=identifier, queue=document.queue, source="store")
-        self._board.note_accepted(identifier)
+        self._job_states.note_accepted(identifier)
         return is_new
 
     def cancel(self, queue, identifier):
@@ -77,7 +77,7 @@
         ------
         JobUnknown, StateUnknown, NotAccepted, AcceptanceUnknown
         """
-        if self._board.state(identifier) in JobStatus.FINAL:
+        if self._job_states.state(identifier) in JobStatus.FINAL:
             return False
         partition = job_partition(queue.pool, identifier)
         rows = self._read(JOBS_TABLE, partition, identifier, CANCEL_SUFFIX + "~")
@@ -101,7 +101,7 @@
         ------
         JobUnknown, StateUnknown
         """
-        status = self._board.state(identifier)
+        status = self._job_states.state(identifier)
         if status is not None:
             return status
         partition = job_partition(queue.pool, identifier)
@@ -115,7 +115,7 @@
         is_cancelled = any(row.key != identifier for row in jobs)
         if is_cancelled and status not in JobStatus.FINAL:
             status = JobStatus.CANCELLED
-        self._board.note({identifier: status})
+        self._job_states.note_statuses({identifier: status})
         return status
 
     def _is_stored(self, partition, identifier):
--- a/papayapick/entry/answers.py
+++ b/papayapick/entry/answers.py
@@ -62,7 +62,7 @@
             candidacy.note_end(peer)
 
     def _answer_beat(self, beat):
-        board = self._host.board
+        job_states = self._host.job_states
         candidacy = self._candidacies.get(beat.pool)
         epoch = 0
         # A host that has not read the row yet can't tell who owns the pool: with the
@@ -70,7 +70,9 @@
         age = LOST_AGE_SECONDS
         if candidacy is not None:
             if candidacy.note_beat(beat):
-                board.note({one.identifier: one.status for one in beat.news})
+                job_states.note_statuses(
+                    {one.identifier: one.status for one in beat.news}
+                )
                 self._note_backlogs(beat)
             epoch = candidacy.known_epoch
             if candidacy.has_read_row:
@@ -90,7 +92,7 @@
             one.queue: QueueBacklog(one.waiting, one.retry_after_seconds)
             for one in beat.queue_loads
         }
-        self._host.board.note_backlogs(
+        self._host.job_states.note_backlogs(
             beat.pool, beat.epoch, backlogs, self._known_at(beat)
         )
 
--- a/papayapick/entry/application.py
+++ b/papayapick/entry/application.py
@@ -154,7 +154,7 @@
         if not identifier:
             if method != "GET":
                 return _Reply(_NOT_ALLOWED)
-            return _Reply(_OK, encode_waiting(host.board.waiting(queue)))
+            return _Reply(_OK, encode_waiting(host.job_states.waiting(queue)))
         if not is_identifier(identifier):
             return _Reply(_NOT_FOUND)
         if method == "POST":
--- a/papayapick/entry/beats.py
+++ b/papayapick/entry/beats.py
@@ -40,7 +40,7 @@
 
     def announce(self, owner):
         """Start to send the beats and all job states of a pool just taken over."""
-        self._host.board.note(owner.news.all_states())
+        self._host.job_states.note_statuses(owner.news.all_states())
         self.start_missing_senders()
 
     def start_missing_senders(self):
@@ -84,7 +84,7 @@
         states = owner.news.take()
         if not states:
             return
-        self._host.board.note(states)
+        self._host.job_states.note_statuses(states)
         with self._lock:
             senders = [
                 sender for (one, _), sender in self._senders.items() if one is owner
@@ -98,7 +98,9 @@
         if not owner.has_read_state:
             return
         backlogs, known_at = _read_backlogs(owner)
-        self._host.board.note_backlogs(owner.pool, owner.row.epoch, backlogs, known_at)
+        self._host.job_states.note_backlogs(
+            owner.pool, owner.row.epoch, backlogs, known_at
+        )
 
 
 class BeatSender:
--- /dev/null
+++ b/papayapick/entry/job_states.py
@@ -0,0 +1,160 @@
+"""Cache job states and queue backlogs, to answer polls without the store."""
+
+import math
+import threading
+from collections import OrderedDict
+
+from papayapick.entry.exceptions import CountUnknown
+from papayapick.jobs.state import JobStatus
+
+__all__ = ["JobStateCache"]
+
+# About 100 bytes each; half a day of jobs at the target load of 41,000 jobs a day.
+_STATES_LIMIT = 20_000
+# Callers are guaranteed that a count of waiting jobs is no older than this.
+_COUNT_MAX_AGE_SECONDS = 2.0
+
+
+class _PoolBacklogs:
+    """Hold the latest reports of a pool's owners about its queues.
+
+    Attributes
+    ----------
+    epoch : int
+        Newest epoch received.
+    counts : dict of str to QueueBacklog
+        By queue, as of ``known_at``; queues without waiting jobs are left out.
+    known_at : float
+        Monotonic seconds.
+    refusals : dict of str to QueueBacklog
+        By queue, as received at ``received_at``.
+    received_at : float
+        Monotonic seconds.
+    """
+
+    __slots__ = ("counts", "epoch", "known_at", "received_at", "refusals")
+
+    def __init__(self):
+        self.epoch = 0
+        self.counts = {}
+        self.known_at = float("-inf")
+        self.refusals = {}
+        self.received_at = float("-inf")
+
+
+class JobStateCache:
+    """Hold the latest known status of jobs and the backlogs of queues.
+
+    Parameters
+    ----------
+    clock : Clock
+    """
+
+    __slots__ = ("_clock", "_lock", "_pools", "_states")
+
+    def __init__(self, clock):
+        self._clock = clock
+        self._states = OrderedDict()
+        self._pools = {}
+        self._lock = threading.Lock()
+
+    def state(self, identifier):
+        """Return the status of a job, or None if it is not cached."""
+        with self._lock:
+            return self._states.get(identifier)
+
+    def note_statuses(self, states):
+        """Store statuses by job; a final status is never replaced.
+
+        Messages of a replaced owner can arrive late. A status that callers may have
+        received as final must not change afterwards.
+        """
+        with self._lock:
+            for identifier, status in states.items():
+                if self._states.get(identifier) in JobStatus.FINAL:
+                    continue
+                self._states[identifier] = status
+                self._states.move_to_end(identifier)
+            while len(self._states) > _STATES_LIMIT:
+                self._states.popitem(last=False)
+
+    def note_accepted(self, identifier):
+        """Record a job that was just stored."""
+        with self._lock:
+            self._states.setdefault(identifier, JobStatus.WAITING)
+
+    def note_backlogs(self, pool, epoch, backlogs, known_at=None):
+        """Store an owner's report about the queues of its pool.
+
+        Messages can arrive late: a report of a replaced owner is discarded, and a
+        count is never replaced by one as of an earlier time.
+
+        Parameters
+        ----------
+        pool : str
+        epoch : int
+            Of the owner.
+        backlogs : dict of str to QueueBacklog
+            By queue; queues without waiting jobs are left out.
+        known_at : float, optional
+            Monotonic time as of which the counts hold; None if the owner does not
+            know them.
+        """
+        with self._lock:
+            latest = self._pools.setdefault(pool, _PoolBacklogs())
+            if epoch < latest.epoch:
+                return
+            latest.epoch = epoch
+            latest.refusals = backlogs
+            latest.received_at = self._clock.monotonic()
+            if known_at is not None and known_at >= latest.known_at:
+                latest.counts = backlogs
+                latest.known_at = known_at
+
+    def all_waiting(self):
+        """Return the recent, non-zero counts of waiting jobs by queue."""
+        now = self._clock.monotonic()
+        with self._lock:
+            fresh = [
+                latest.counts
+                for latest in self._pools.values()
+                if now - latest.known_at <= _COUNT_MAX_AGE_SECONDS
+            ]
+        return {
+            name: backlog.waiting
+            for counts in fresh
+            for name, backlog in counts.items()
+            if backlog.waiting
+        }
+
+    def waiting(self, queue):
+        """Return how many jobs of a queue have not begun.
+
+        Raises
+        ------
+        CountUnknown
+            No owner of the pool has reported, or not recently: only in a recent
+            report does a queue that is left out have no waiting jobs.
+        """
+        with self._lock:
+            latest = self._pools.get(queue.pool, _PoolBacklogs())
+            age = self._clock.monotonic() - latest.known_at
+            backlog = latest.counts.get(queue.name)
+        if age > _COUNT_MAX_AGE_SECONDS:
+            shown = None if math.isinf(age) else round(age, 3)
+            raise CountUnknown(pool=queue.pool, age_seconds=shown)
+        return backlog.waiting if backlog is not None else 0
+
+    def retry_after(self, pool, queue):
+        """Return the seconds for which a queue refuses new jobs; 0 if it accepts them.
+
+        A refusal expires after its own duration, counted from its receipt: otherwise
+        the last report of an owner that is gone would reject callers for ever.
+        """
+        with self._lock:
+            latest = self._pools.get(pool, _PoolBacklogs())
+            backlog = latest.refusals.get(queue)
+            elapsed = self._clock.monotonic() - latest.received_at
+        if backlog is None:
+            return 0
+        return max(0, math.ceil(backlog.retry_after - elapsed))
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -12,7 +12,6 @@
 from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.application import Application
 from papayapick.entry.beats import BeatBroadcaster
-from papayapick.entry.board import StateBoard
 from papayapick.entry.candidacy import Candidacy
 from papayapick.entry.configuration import ConfigurationWatcher
 from papayapick.entry.distance import StoreDistance
@@ -26,6 +25,7 @@
     OWNER_WAIT_SECONDS,
     follow_table,
 )
+from papayapick.entry.job_states import JobStateCache
 from papayapick.entry.joining import cell_key, register
 from papayapick.entry.metrics import (
     CONFIGURATION_AGE_SECONDS,
@@ -87,13 +87,13 @@
         )
         self.worker_pool = HttpPool(_WORKER_CALL_SECONDS)
         self.machines = MachineList(settings.machines_address, self.worker_pool)
-        self.board = StateBoard(self.clock)
+        self.job_states = JobStateCache(self.clock)
         self.configuration = ConfigurationWatcher(self)
         self.relayed_store = RelayedStore(self)
         self.writer = GroupWriter(
             self.relayed_store, self.clock, self.stopping, self.executor
         )
-        self.acceptance = Acceptance(self.relayed_store, self.writer, self.board)
+        self.acceptance = Acceptance(self.relayed_store, self.writer, self.job_states)
         self.advice = AdviceDispatcher(self, HttpPool(_WORKER_CALL_SECONDS))
         self.peers = None
         self.store_health = StoreHealth(self.clock)
@@ -179,7 +179,7 @@
         CONFIGURATION_AGE_SECONDS.set(self.configuration.age())
         OWNED_POOLS.set(len(self.owned_pools()))
         WAITING_JOBS.clear()
-        for queue, count in self.board.all_waiting().items():
+        for queue, count in self.job_states.all_waiting().items():
             WAITING_JOBS.labels(queue).set(count)
 
     def _run_loop(self, name, step):
--- a/tests/entry/test_acceptance.py
+++ b/tests/entry/test_acceptance.py
@@ -8,8 +8,8 @@
 from papayapick.clients.rows import StoredRow
 from papayapick.clock import ManualClock
 from papayapick.entry.acceptance import Acceptance
-from papayapick.entry.board import StateBoard
 from papayapick.entry.exceptions import QueueFull, StateUnknown
+from papayapick.entry.job_states import JobStateCache
 from papayapick.jobs import JobDocument, Step
 from papayapick.jobs.state import JobStatus
 from papayapick.ledger import Amounts
@@ -40,9 +40,9 @@
 
 
 def acceptance(store, retry_after):
-    board = StateBoard(ManualClock(100.0))
-    board.note_backlogs("pool", 3, {"counts": QueueBacklog(500, retry_after)})
-    return Acceptance(store, store, board), board
+    job_states = JobStateCache(ManualClock(100.0))
+    job_states.note_backlogs("pool", 3, {"counts": QueueBacklog(500, retry_after)})
+    return Acceptance(store, store, job_states), job_states
 
 
 def test_full_queue_turns_a_new_job_away_and_writes_nothing():
@@ -62,8 +62,8 @@
 
 
 def test_full_queue_knows_the_jobs_on_the_board():
-    found, board = acceptance(FakeStore(is_away=True), 9)
-    board.note({ID: JobStatus.RUNNING})
+    found, job_states = acceptance(FakeStore(is_away=True), 9)
+    job_states.note_statuses({ID: JobStatus.RUNNING})
     assert found.submit(JOB) is False
 
 
--- a/tests/entry/test_answers.py
+++ b/tests/entry/test_answers.py
@@ -6,8 +6,8 @@
 
 from papayapick.clock import ManualClock
 from papayapick.entry.answers import PeerAnswers
-from papayapick.entry.board import StateBoard
 from papayapick.entry.candidacy import Candidacy
+from papayapick.entry.job_states import JobStateCache
 from papayapick.entry.store_health import StoreHealth
 from papayapick.ownership.pools import PoolRow
 from papayapick.pool.standing import UNCONFIRMED_SECONDS
@@ -19,7 +19,9 @@
     clock = ManualClock(100.0)
     health = StoreHealth(clock)
     health.note_answer()
-    return SimpleNamespace(clock=clock, board=StateBoard(clock), store_health=health)
+    return SimpleNamespace(
+        clock=clock, job_states=JobStateCache(clock), store_health=health
+    )
 
 
 @pytest.fixture
--- a/tests/entry/test_backlog_news.py
+++ b/tests/entry/test_backlog_news.py
@@ -5,7 +5,7 @@
 from papayapick.clock import ManualClock
 from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.beats import BeatSender
-from papayapick.entry.board import StateBoard
+from papayapick.entry.job_states import JobStateCache
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.ownership.pools import PoolRow
 from papayapick.placement.backlog import QueueBacklog
@@ -37,13 +37,13 @@
     and that was taken for queues in which nothing waits.
     """
     clock = ManualClock(100.0)
-    board = StateBoard(clock)
-    board.note_backlogs("pool", 2, {"q": QueueBacklog(393, 0)}, known_at=100.0)
+    job_states = JobStateCache(clock)
+    job_states.note_backlogs("pool", 2, {"q": QueueBacklog(393, 0)}, known_at=100.0)
     candidacy = SimpleNamespace(
         note_beat=lambda beat: True, known_epoch=0, has_read_row=True
     )
     told = SimpleNamespace(
-        board=board,
+        job_states=job_states,
         clock=clock,
         store_health=SimpleNamespace(told_age=lambda: 0.0),
     )
@@ -57,6 +57,6 @@
         line = BeatSender(host, owner, Peer(answers))
         assert line._beat()
         assert line._beat()
-        assert board.waiting(QUEUE) == 393
+        assert job_states.waiting(QUEUE) == 393
     finally:
         owner.stop()
--- a/tests/entry/test_beats.py
+++ b/tests/entry/test_beats.py
@@ -172,7 +172,7 @@
     """The broadcaster of a host that owns two pools, and their candidacies."""
     host = sender._host
     host.executor = RecordingExecutor()
-    host.board = SimpleNamespace(note=lambda states: None)
+    host.job_states = SimpleNamespace(note_statuses=lambda states: None)
     candidacies = {name: OwnedCandidacy(name) for name in ("a", "b")}
     broadcaster = BeatBroadcaster(host, candidacies)
     for candidacy in candidacies.values():
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -9,7 +9,7 @@
 from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.application import Application
 from papayapick.entry.beats import BeatBroadcaster, BeatSender
-from papayapick.entry.board import StateBoard
+from papayapick.entry.job_states import JobStateCache
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.placement.backlog import QueueBacklog
 from papayapick.wire.exceptions import PeerTimeout
@@ -29,7 +29,7 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.board = StateBoard(clock)
+        self.job_states = JobStateCache(clock)
         self.settings = SimpleNamespace(
             readiness_address=("127.0.0.1", 1), metrics_port=0
         )
@@ -67,7 +67,7 @@
         self.host, self.owner = owner_with(job())
         self.host.settings.host_name = "h1"
         self.host.advice = SimpleNamespace(note_peer_answer=lambda: None)
-        self.host.board = StateBoard(self.host.clock)
+        self.host.job_states = JobStateCache(self.host.clock)
         self.owner.has_read_state = True
         self.told = told
         self.is_cut_off = False
@@ -143,7 +143,7 @@
 
 
 def test_queue_that_a_fresh_word_leaves_out_has_nothing_that_waits(host):
-    host.board.note_backlogs("pool", 3, {}, known_at=host.clock.monotonic())
+    host.job_states.note_backlogs("pool", 3, {}, known_at=host.clock.monotonic())
     status, _, body = count(host)
     assert (status, body) == ("200 OK", {"queued_jobs": 0})
 
@@ -178,10 +178,10 @@
 def test_late_message_of_a_replaced_owner_does_not_bring_its_number_back(host):
     """Two owners' messages crossed, and the count of the first one was told again."""
     now = host.clock.monotonic()
-    host.board.note_backlogs("pool", 4, {"q": QueueBacklog(58)}, known_at=now)
-    host.board.note_backlogs("pool", 3, {"q": QueueBacklog(2, 9)}, known_at=now)
+    host.job_states.note_backlogs("pool", 4, {"q": QueueBacklog(58)}, known_at=now)
+    host.job_states.note_backlogs("pool", 3, {"q": QueueBacklog(2, 9)}, known_at=now)
     assert count(host)[2] == {"queued_jobs": 58}
-    assert host.board.retry_after("pool", "q") == 0
+    assert host.job_states.retry_after("pool", "q") == 0
 
 
 def test_message_that_was_held_up_on_its_way_tells_no_number_as_fresh(host, owning):
@@ -197,8 +197,8 @@
 def test_earlier_message_of_the_same_owner_does_not_replace_a_later_one(host):
     """Beats of two connections crossed after a cut, and the older number stood."""
     now = host.clock.monotonic()
-    host.board.note_backlogs("pool", 3, {"q": QueueBacklog(58)}, known_at=now)
-    host.board.note_backlogs("pool", 3, {}, known_at=now - 0.5)
+    host.job_states.note_backlogs("pool", 3, {"q": QueueBacklog(58)}, known_at=now)
+    host.job_states.note_backlogs("pool", 3, {}, known_at=now - 0.5)
     assert count(host)[2] == {"queued_jobs": 58}
 
 
@@ -222,12 +222,12 @@
 
 def test_refusal_holds_for_its_own_time_and_no_longer(host):
     """A queue was closed for ever: the owner that had closed it was gone."""
-    host.board.note_backlogs("pool", 3, {"q": QueueBacklog(500, 9)})
-    assert host.board.retry_after("pool", "q") == 9
+    host.job_states.note_backlogs("pool", 3, {"q": QueueBacklog(500, 9)})
+    assert host.job_states.retry_after("pool", "q") == 9
     host.clock.advance(8.5)
-    assert host.board.retry_after("pool", "q") == 1
+    assert host.job_states.retry_after("pool", "q") == 1
     host.clock.advance(0.5)
-    assert host.board.retry_after("pool", "q") == 0
+    assert host.job_states.retry_after("pool", "q") == 0
 
 
 def test_owner_of_a_quiet_pool_tells_the_number_on_its_own_host(owning):
@@ -236,7 +236,7 @@
         owning.host.clock.advance(0.1)
         owning.note_all_taken_in()
         owning.broadcaster.broadcast(owning.owner)
-    assert owning.host.board.waiting(QUEUE) == 1
+    assert owning.host.job_states.waiting(QUEUE) == 1
 
 
 @pytest.mark.parametrize("is_local", [True, False])
@@ -246,7 +246,7 @@
     owning.broadcaster.broadcast(owning.owner)
     owning.beat()
     owning.beat()
-    host.board = owning.host.board if is_local else host.board
+    host.job_states = owning.host.job_states if is_local else host.job_states
     assert count(host)[0] == "503 Service Unavailable"
 
 
@@ -255,25 +255,25 @@
     host, owning, is_local
 ):
     """A takeover let callers into a full queue until the new owner had counted."""
-    board = owning.host.board if is_local else host.board
-    board.note_backlogs("pool", 2, {"q": QueueBacklog(500, 9)})
+    job_states = owning.host.job_states if is_local else host.job_states
+    job_states.note_backlogs("pool", 2, {"q": QueueBacklog(500, 9)})
     owning.owner.has_read_state = False
     owning.broadcaster.broadcast(owning.owner)
     owning.beat()
-    assert board.retry_after("pool", "q") == 9
+    assert job_states.retry_after("pool", "q") == 9
     owning.owner.has_read_state = True
     owning.broadcaster.broadcast(owning.owner)
     owning.beat()
-    assert board.retry_after("pool", "q") == 0
+    assert job_states.retry_after("pool", "q") == 0
 
 
 def test_metrics_leave_out_numbers_that_are_too_old(host):
     """A graph showed the backlog of an owner that was gone."""
-    board, now = host.board, host.clock.monotonic()
-    board.note_backlogs("pool", 3, {"q": QueueBacklog(58)}, known_at=now)
-    assert board.all_waiting() == {"q": 58}
+    job_states, now = host.job_states, host.clock.monotonic()
+    job_states.note_backlogs("pool", 3, {"q": QueueBacklog(58)}, known_at=now)
+    assert job_states.all_waiting() == {"q": 58}
     host.clock.advance(PROMISED_SECONDS + 0.1)
-    assert board.all_waiting() == {}
+    assert job_states.all_waiting() == {}
 
 
 @pytest.mark.parametrize(("age", "shown"), [(None, "None"), (3.25, "3.25")])
@@ -281,7 +281,7 @@
     """Whoever read the log could not tell an owner that was gone from none at all."""
     if age is not None:
         then = host.clock.monotonic() - age
-        host.board.note_backlogs("pool", 3, {}, known_at=then)
+        host.job_states.note_backlogs("pool", 3, {}, known_at=then)
     _, _, body = count(host)
     assert body == {
         "error": "entry.count-unknown",
