--- a/papayapick/entry/application.py
+++ b/papayapick/entry/application.py
@@ -131,7 +131,7 @@
             code=error.code,
             detail=str(error),
             seconds=self._since(arrived_at),
-            store_age_seconds=self._host.store_health.shown_age(),
+            store_age_seconds=self._host.store_health.logged_age(),
             configuration_version=self._host.configuration.version,
             retry_after_seconds=retry_after,
         )
--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -151,7 +151,7 @@
             self._wakeup.set()
         return True
 
-    def note_end(self, peer):
+    def note_disconnect(self, peer):
         """Check on the owner when its connection has ended."""
         if peer.host != self.row.owner or not self.row.address:
             return
--- a/papayapick/entry/answers.py
+++ b/papayapick/entry/peer_requests.py
@@ -1,4 +1,4 @@
-"""Answer the other entry hosts."""
+"""Answer the requests of the other entry hosts."""
 
 from papayapick.entry.store_health import LOST_AGE_SECONDS
 from papayapick.placement.backlog import QueueBacklog
@@ -10,11 +10,11 @@
     StoreCall,
 )
 
-__all__ = ["PeerAnswers"]
+__all__ = ["PeerRequestHandler"]
 
 
-class PeerAnswers:
-    """Take the messages of other hosts to the parts that they are for.
+class PeerRequestHandler:
+    """Dispatch the messages of other hosts by their type.
 
     Parameters
     ----------
@@ -51,22 +51,22 @@
             return self._relay.answer(payload)
         return None
 
-    def note_end(self, peer):
-        """Look whether a host whose connection has ended was an owner.
+    def note_disconnect(self, peer):
+        """Make each candidacy check whether a disconnected host owned its pool.
 
         Parameters
         ----------
         peer : Hello
         """
         for candidacy in list(self._candidacies.values()):
-            candidacy.note_end(peer)
+            candidacy.note_disconnect(peer)
 
     def _answer_beat(self, beat):
         job_states = self._host.job_states
         candidacy = self._candidacies.get(beat.pool)
         epoch = 0
-        # A host that has not read the row yet can't tell who owns the pool: with the
-        # age of its word from the store, its answer would confirm a replaced owner.
+        # A host that has not read the row of the pool can't tell who owns it. If it
+        # reported its store as recently reached, it would confirm a replaced owner.
         age = LOST_AGE_SECONDS
         if candidacy is not None:
             if candidacy.note_beat(beat):
@@ -76,7 +76,7 @@
                 self._note_backlogs(beat)
             epoch = candidacy.known_epoch
             if candidacy.has_read_row:
-                age = self._host.store_health.told_age()
+                age = self._host.store_health.reported_age()
         return PoolBeatAnswer(
             epoch=epoch,
             store_age_milliseconds=int(age * 1000),
@@ -85,8 +85,8 @@
 
     def _note_backlogs(self, beat):
         if not beat.has_read_state:
-            # A new owner beats before it has read its state: it names no queue, which
-            # would be told to callers as queues in which nothing waits.
+            # A new owner sends beats before it has read its state. These list no
+            # queue, which callers would see as queues without waiting jobs.
             return
         backlogs = {
             one.queue: QueueBacklog(one.waiting, one.retry_after_seconds)
@@ -97,10 +97,10 @@
         )
 
     def _known_at(self, beat):
-        """Return the time as of which the numbers of a beat are true, or None."""
+        """Return the time as of which the counts of a beat hold, or None."""
         known_at = beat.known_at_milliseconds / 1000
-        # A machine that took the place of another has another clock; the owner knows
-        # it with the answer to this beat.
+        # A time in the future was computed for the clock of a machine that this one
+        # has replaced. The answer to this beat gives the owner the present clock.
         is_ahead = known_at > self._host.clock.monotonic()
         return None if is_ahead or not known_at else known_at
 
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -9,7 +9,6 @@
 from papayapick.clock import BootClock
 from papayapick.entry.acceptance import Acceptance
 from papayapick.entry.advice_dispatch import AdviceDispatcher
-from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.application import Application
 from papayapick.entry.beats import BeatBroadcaster
 from papayapick.entry.candidacy import Candidacy
@@ -33,6 +32,7 @@
     STORE_AGE_SECONDS,
     STORE_SECONDS,
 )
+from papayapick.entry.peer_requests import PeerRequestHandler
 from papayapick.entry.peers import HOSTS_PARTITION, Peers
 from papayapick.entry.probing import StoreProbe
 from papayapick.entry.queues import KnownQueues
@@ -160,7 +160,7 @@
                 is_ready=is_ready,
                 is_draining=self.is_draining,
                 configuration_version=self.configuration.version,
-                store_age_seconds=self.store_health.shown_age(),
+                store_age_seconds=self.store_health.logged_age(),
             )
         return is_ready
 
@@ -198,14 +198,14 @@
             host=settings.host_name, region=settings.region, zone=settings.zone
         )
         self.peers = Peers(self, keys, identity, self.executor)
-        answers = PeerAnswers(self, self._candidacies, self._relay)
+        handler = PeerRequestHandler(self, self._candidacies, self._relay)
         self._peer_server = PeerServer(
             settings.peer_address,
             keys,
             identity,
-            answers.answer,
+            handler.answer,
             self.executor,
-            on_end=answers.note_end,
+            on_end=handler.note_disconnect,
         )
         self._peer_server.start()
         register(self)
--- a/papayapick/entry/store_health.py
+++ b/papayapick/entry/store_health.py
@@ -1,15 +1,15 @@
-"""Hold whether the store answers this host."""
+"""Track whether the store answers this host."""
 
 __all__ = ["LOST_AGE_SECONDS", "StoreHealth"]
 
-# Followers have an answer each 1.2 s when nothing changes.
+# Tasks that follow tables get an answer every 1.2 s even when nothing changes.
 _OVERDUE_SECONDS = 1.7
-# Stands for "not at all" where the age of its last answer is told.
+# Reported to other hosts as the age of the last answer while the store is lost.
 LOST_AGE_SECONDS = 1000.0
 
 
 class StoreHealth:
-    """Keep when the store last answered, and since when it fails to.
+    """Hold when the store last answered and since when it fails to answer.
 
     Parameters
     ----------
@@ -25,18 +25,18 @@
         self._lost_at = None
 
     def note_answer(self):
-        """Note that the store has answered."""
+        """Record that the store has answered a call."""
         self._answered_at = self._clock.monotonic()
         self._lost_at = None
 
     def note_failure(self):
-        """Note that a call of the store had no answer or was refused."""
+        """Record that a call of the store had no answer or was refused."""
         self._failed_at = self._clock.monotonic()
         if self._lost_at is None:
             self._lost_at = self._failed_at
 
     def is_lost(self):
-        """Return whether the store did not answer this host lately."""
+        """Return whether the last call failed or the last answer is overdue."""
         if self._answered_at is None:
             return True
         if self.age() > _OVERDUE_SECONDS:
@@ -55,14 +55,14 @@
             return float("inf")
         return self._clock.monotonic() - self._answered_at
 
-    def shown_age(self):
-        """Return the age for a line of the log, or None before the first answer."""
+    def logged_age(self):
+        """Return the age for log events, or None before the first answer."""
         return None if self._answered_at is None else round(self.age(), 3)
 
-    def told_age(self):
-        """Return the age to tell other hosts.
+    def reported_age(self):
+        """Return the age that is reported to other hosts.
 
-        Long where the last call failed: what the store said before is no sign that
-        it would answer now.
+        It is LOST_AGE_SECONDS while the store is lost: an earlier answer does not
+        show that the store would answer now.
         """
         return LOST_AGE_SECONDS if self.is_lost() else self.age()
--- a/tests/entry/test_application.py
+++ b/tests/entry/test_application.py
@@ -47,7 +47,7 @@
         self.accepted.append(document.identifier)
         return True
 
-    def shown_age(self):
+    def logged_age(self):
         return None
 
 
--- a/tests/entry/test_candidacy.py
+++ b/tests/entry/test_candidacy.py
@@ -222,7 +222,7 @@
     _look(candidacy)
     rows[0] = PoolRow("pool", "h2", 3, address, 8)
     candidacy.note_row(rows[0])
-    candidacy.note_end(Hello(host="h2"))
+    candidacy.note_disconnect(Hello(host="h2"))
     _look(candidacy)
     assert taken == ([] if is_listening else [4])
 
@@ -231,7 +231,7 @@
     rows[0] = PoolRow("pool", "h2", 3, _dead_address(), 7)
     candidacy.note_row(rows[0])
     candidacy._expect_beats()
-    candidacy.note_end(Hello(host="h3"))
+    candidacy.note_disconnect(Hello(host="h3"))
     _look(candidacy)
     assert taken == []
 
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -6,10 +6,10 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.application import Application
 from papayapick.entry.beats import BeatBroadcaster, BeatSender
 from papayapick.entry.job_states import JobStateCache
+from papayapick.entry.peer_requests import PeerRequestHandler
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.placement.backlog import QueueBacklog
 from papayapick.wire.exceptions import PeerTimeout
@@ -40,7 +40,7 @@
             ),
         )
         self.store_health = SimpleNamespace(
-            shown_age=lambda: None, told_age=lambda: 0.0
+            logged_age=lambda: None, reported_age=lambda: 0.0
         )
 
 
@@ -75,7 +75,7 @@
         candidacy = SimpleNamespace(
             note_beat=lambda beat: True, known_epoch=0, has_read_row=True
         )
-        self.answers = PeerAnswers(told, {"pool": candidacy}, None)
+        self.answers = PeerRequestHandler(told, {"pool": candidacy}, None)
         self.name, self.client = "h2", self
         self.broadcaster = BeatBroadcaster(self.host, {})
         self.sender = BeatSender(self.host, self.owner, self)
--- a/tests/entry/test_answers.py
+++ b/tests/entry/test_peer_requests.py
@@ -1,13 +1,13 @@
-"""What a host answers to the beat of an owner, which goes on by it."""
+"""Answers to an owner's beat, by which the owner stays confirmed or stops."""
 
 from types import SimpleNamespace
 
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.candidacy import Candidacy
 from papayapick.entry.job_states import JobStateCache
+from papayapick.entry.peer_requests import PeerRequestHandler
 from papayapick.entry.store_health import StoreHealth
 from papayapick.ownership.pools import PoolRow
 from papayapick.pool.standing import UNCONFIRMED_SECONDS
@@ -31,18 +31,18 @@
 
 @pytest.fixture
 def beat(host, candidacy):
-    """Hand the host the beat of an owner; return its answer."""
-    answers = PeerAnswers(host, {"pool": candidacy}, None)
+    """Return a function that sends an owner's beat to the host."""
+    handler = PeerRequestHandler(host, {"pool": candidacy}, None)
 
     def send(owner, epoch, pool="pool"):
         message = PoolBeat(pool=pool, epoch=epoch, host=owner, news=[], queue_loads=[])
-        return answers.answer(message, None, "")
+        return handler.answer(message, None, "")
 
     return send
 
 
 def _confirms(answer, epoch):
-    """Return whether an owner goes on by an answer."""
+    """Return whether an answer confirms an owner of this epoch."""
     is_fresh = answer.store_age_milliseconds / 1000 < UNCONFIRMED_SECONDS
     return is_fresh and answer.epoch <= epoch
 
@@ -52,8 +52,12 @@
     assert _confirms(beat("h2", 3), 3)
 
 
-def test_host_that_heard_a_newer_owner_does_not_confirm_the_one_before(beat, candidacy):
-    """A replaced owner ordered on for two seconds: the new row was not read here."""
+def test_host_that_knows_a_newer_owner_does_not_confirm_the_old_one(beat, candidacy):
+    """Guard against a replaced owner that sends orders for two more seconds.
+
+    The host that confirmed it had received a beat of the newer owner, but had not yet
+    read its row.
+    """
     candidacy.note_row(PoolRow("pool", "h2", 2, "a:1", 7))
     beat("h3", 3)
     assert beat("h2", 2).epoch == 3
@@ -61,5 +65,5 @@
 
 @pytest.mark.parametrize("pool", ["pool", "unknown"])
 def test_host_that_has_not_read_the_row_confirms_nobody(beat, pool):
-    """A replaced owner ordered on by the word of hosts that had just started."""
+    """Guard against a replaced owner that is confirmed by hosts that just started."""
     assert not _confirms(beat("h2", 2, pool), 2)
--- a/tests/entry/test_backlog_news.py
+++ b/tests/entry/test_takeover_backlogs.py
@@ -1,11 +1,11 @@
-"""What hosts tell callers of queues as one owner follows another."""
+"""Backlogs that other hosts report to callers while a pool is taken over."""
 
 from types import SimpleNamespace
 
 from papayapick.clock import ManualClock
-from papayapick.entry.answers import PeerAnswers
 from papayapick.entry.beats import BeatSender
 from papayapick.entry.job_states import JobStateCache
+from papayapick.entry.peer_requests import PeerRequestHandler
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.ownership.pools import PoolRow
 from papayapick.placement.backlog import QueueBacklog
@@ -18,23 +18,23 @@
 
 
 class Peer:
-    """Hand what it is asked to the answers of another host."""
+    """Pass requests to the request handler of another host."""
 
-    def __init__(self, answers):
+    def __init__(self, handler):
         self.client = self
         self.name = "h2"
-        self._answers = answers
+        self._handler = handler
 
     def ask(self, payload, seconds):
-        return self._answers.answer(payload, None, "")
+        return self._handler.answer(payload, None, "")
 
 
-def test_owner_that_has_not_read_its_state_does_not_say_that_nothing_waits():
-    """Callers were told that no job waits while four hundred did.
+def test_owner_that_has_not_read_its_state_does_not_report_empty_queues():
+    """Guard against a count of 0 for a queue in which hundreds of jobs wait.
 
-    A new owner beats before it has read its state, which takes a second for a large
-    pool, so that no other host takes the pool in turn. Those beats tell of no queue,
-    and that was taken for queues in which nothing waits.
+    A new owner sends beats before it has read its state, which takes a second for a
+    large pool, so that no other host takes the pool in turn. These beats list no
+    queue, which must not be read as queues without waiting jobs.
     """
     clock = ManualClock(100.0)
     job_states = JobStateCache(clock)
@@ -42,21 +42,21 @@
     candidacy = SimpleNamespace(
         note_beat=lambda beat: True, known_epoch=0, has_read_row=True
     )
-    told = SimpleNamespace(
+    receiver = SimpleNamespace(
         job_states=job_states,
         clock=clock,
-        store_health=SimpleNamespace(told_age=lambda: 0.0),
+        store_health=SimpleNamespace(reported_age=lambda: 0.0),
     )
-    answers = PeerAnswers(told, {"pool": candidacy}, None)
+    handler = PeerRequestHandler(receiver, {"pool": candidacy}, None)
     host = Host()
     host.clock = clock
     host.settings.host_name = "h1"
     host.advice = SimpleNamespace(note_peer_answer=lambda: None)
     owner = PoolOwner(host, PoolRow("pool", "h1", 3, "a:1", 9))
     try:
-        line = BeatSender(host, owner, Peer(answers))
-        assert line._beat()
-        assert line._beat()
+        sender = BeatSender(host, owner, Peer(handler))
+        assert sender._beat()
+        assert sender._beat()
         assert job_states.waiting(QUEUE) == 393
     finally:
         owner.stop()
