--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -13,7 +13,6 @@
 from papayapick.entry.beats import BeatBroadcaster
 from papayapick.entry.candidacy import Candidacy
 from papayapick.entry.configuration import ConfigurationWatcher
-from papayapick.entry.distance import StoreDistance
 from papayapick.entry.events import (
     LOOP_FAILED,
     OWNER_UNCONFIRMED,
@@ -39,6 +38,7 @@
 from papayapick.entry.relays import RelayedStore, StoreRelay
 from papayapick.entry.servers import FrontServer
 from papayapick.entry.store_health import StoreHealth
+from papayapick.entry.store_latency import StoreLatency
 from papayapick.entry.writers import GroupWriter
 from papayapick.ownership.pools import CELL_TABLE, pool_row, read_pool
 from papayapick.platform.machines import MachineList
@@ -78,7 +78,7 @@
         # Whether the rows of the other hosts were read.
         self.knows_cell = False
         self.executor = ThreadPoolExecutor(_TASKS, thread_name_prefix="entry")
-        self._store_distance = StoreDistance()
+        self._store_latency = StoreLatency()
         self.store = Store(
             settings.store_address,
             HttpPool(_STORE_CALL_SECONDS),
@@ -115,7 +115,7 @@
     @property
     def store_seconds(self):
         """Return the seconds that a short call of the store takes; None if unknown."""
-        return self._store_distance.seconds
+        return self._store_latency.seconds
 
     # Life.
 
@@ -220,7 +220,7 @@
 
     def _observe_store(self, operation, outcome, seconds):
         STORE_SECONDS.labels(operation, outcome).observe(seconds)
-        self._store_distance.note_call(operation, outcome, seconds)
+        self._store_latency.note_call(operation, outcome, seconds)
 
     def follow(
         self, table, version, on_rows, read_all, stopping, gather=0.0, on_complete=None
