--- a/papayapick/entry/advice_dispatch.py
+++ b/papayapick/entry/advice_dispatch.py
@@ -1,10 +1,10 @@
-"""Ask the advice service on behalf of the owner, one call at a time."""
+"""Send an owner's queries to the advice service through the hosts of the cell."""
 
 import heapq
 import threading
 from concurrent.futures import Future, ThreadPoolExecutor
 
-from papayapick.entry.advice_turns import HostLoad, choose_host, is_long
+from papayapick.entry.advice_balancing import HostLoad, choose_host, is_long
 from papayapick.entry.events import ADVICE_MOVED
 from papayapick.entry.metrics import ADVICE_SECONDS
 from papayapick.platform.advice import AdviceClient
@@ -15,11 +15,11 @@
 __all__ = ["AdviceDispatcher", "SerialAdviceClient"]
 
 # Hosts answer a new owner's first beats within this time.
-_ACQUAINTED_SECONDS = 0.4
+_FIRST_ANSWERS_SECONDS = 0.4
 
 
 class SerialAdviceClient:
-    """Queue calls: the service serves one at a time for each calling host.
+    """Call the service one query at a time, as it serves each calling host.
 
     Parameters
     ----------
@@ -44,8 +44,8 @@
     return True
 
 
-class _Question:
-    """Hold what is asked, and the future of its answer."""
+class _PendingQuery:
+    """Hold a query and the future of its answer; ordered by due time."""
 
     __slots__ = (
         "answer",
@@ -62,7 +62,7 @@
         self.workers = workers
         self.expected = expected
         self.asked_at = asked_at
-        # The least is given out first.
+        # The query with the earliest due time is sent first.
         self.due = asked_at + delay
         self.is_needed = is_needed
         self.answer = Future()
@@ -72,11 +72,11 @@
 
 
 class AdviceDispatcher:
-    """Give an owner's questions out to the hosts, and answer those of others.
+    """Assign an owner's queries to hosts, and answer the queries of other hosts.
 
-    Questions wait here until a host has time for them. Given out at once, all that
-    waits at a takeover would go to the new owner itself, as no other host has been
-    heard yet, and be asked there one by one while the others have nothing to ask.
+    Queries are held back until a host has time for them. If all were assigned at once,
+    those pending at a takeover would go to the new owner itself, which has no answer
+    from another host yet, and would be sent one by one while the other hosts are idle.
 
     Parameters
     ----------
@@ -84,22 +84,29 @@
     pool : HttpPool
     """
 
-    __slots__ = ("_own_client", "_alone_since", "_host", "_lines", "_lock", "_seconds")
+    __slots__ = (
+        "_heaps",
+        "_host",
+        "_lock",
+        "_no_peer_since",
+        "_own_client",
+        "_pending_seconds",
+    )
 
     def __init__(self, host, pool):
         self._host = host
         self._own_client = SerialAdviceClient(host.settings.advice_address, pool)
         self._lock = threading.Lock()
-        # What the calls that this host was given still take.
-        self._seconds = 0.0
-        # Heaps of the short questions and of the long ones: a long one that finds no
-        # host must not keep the short ones behind it from theirs.
-        self._lines = {False: [], True: []}
-        # Since when no other host is heard, in monotonic seconds.
-        self._alone_since = None
+        # Time that the calls already assigned to this host still take.
+        self._pending_seconds = 0.0
+        # Heaps of the short queries (False) and the long ones (True): a long query for
+        # which no host is free must not block the short ones behind it.
+        self._heaps = {False: [], True: []}
+        # Monotonic seconds since which no other host is live, or None.
+        self._no_peer_since = None
 
     def ask(self, key, workers, expected, delay=0.0, is_needed=None):
-        """Ask for advice through the host that has least to ask.
+        """Ask for advice through the least busy host.
 
         Parameters
         ----------
@@ -108,10 +115,11 @@
         expected : float
             Seconds that the call takes.
         delay : float
-            Seconds by which others may be asked later and still go first. A bound and
-            no rank: however many urgent ones come, a patient one has its turn.
+            Seconds by which other queries may arrive later and still be sent first. A
+            time limit rather than a priority, so that a non-urgent query is sent
+            eventually, however many urgent ones arrive.
         is_needed : callable, optional
-            Returns whether the answer is still of use when a host has time for it.
+            Returns whether the answer is still of use when a host is free.
 
         Returns
         -------
@@ -119,108 +127,108 @@
             Gives the ticket by worker, or raises ``AdviceNotNeeded``.
         """
         now = self._host.clock.monotonic()
-        question = _Question(
+        query = _PendingQuery(
             key, workers, expected, now, delay, is_needed or _is_always_needed
         )
         with self._lock:
-            self._replace(question)
-            self._put(question)
-        self._give_out_soon()
-        return question.answer
-
-    def _put(self, question):
-        heapq.heappush(self._lines[is_long(question.expected)], question)
-
-    def _replace(self, question):
-        """Drop an older question on the same step, and keep its place."""
-        for line in self._lines.values():
-            older = [one for one in line if one.key == question.key]
+            self._replace_older(query)
+            self._push(query)
+        self._schedule_dispatch()
+        return query.answer
+
+    def _push(self, query):
+        heapq.heappush(self._heaps[is_long(query.expected)], query)
+
+    def _replace_older(self, query):
+        """Drop an older query about the same step and keep its due time."""
+        for heap in self._heaps.values():
+            older = [one for one in heap if one.key == query.key]
             if older:
-                question.due = min(one.due for one in older)
-                line[:] = [one for one in line if one.key != question.key]
-                heapq.heapify(line)
+                query.due = min(one.due for one in older)
+                heap[:] = [one for one in heap if one.key != query.key]
+                heapq.heapify(heap)
 
     def note_peer_answer(self):
-        """Give out what waits: another host was heard, and may have time."""
-        self._give_out_soon()
-
-    def _give_out_soon(self):
-        # As a task: whoever connects to a host that is cut off is held up for 0.4 s,
-        # and here that would be the reader of another host's answers.
-        if any(self._lines.values()):
-            self._host.executor.submit(self._give_out)
-
-    def _give_out(self):
-        """Give what waits to the hosts that have time for it."""
-        while (taken := self._take()) is not None:
+        """Dispatch pending queries: the host that has answered may have time."""
+        self._schedule_dispatch()
+
+    def _schedule_dispatch(self):
+        # As a separate task: connecting to a host that is cut off blocks for 0.4 s,
+        # and the caller may be the reader of another host's answers.
+        if any(self._heaps.values()):
+            self._host.executor.submit(self._dispatch)
+
+    def _dispatch(self):
+        """Send pending queries to the hosts that have time for them."""
+        while (taken := self._pop_next()) is not None:
             self._send(*taken)
 
-    def _take(self):
-        """Take the question that is due first of those that find a host.
+    def _pop_next(self):
+        """Remove the earliest query for which a host is free.
 
         Returns
         -------
-        tuple of (Peer or None, _Question) or None
+        tuple of (Peer or None, _PendingQuery) or None
         """
         with self._lock:
-            for line in self._lines.values():
-                self._drop_needless(line)
-            heads = [line[0] for line in self._lines.values() if line]
-            for question in sorted(heads):
-                host = self._host_for(question)
+            for heap in self._heaps.values():
+                self._drop_unneeded(heap)
+            heads = [heap[0] for heap in self._heaps.values() if heap]
+            for query in sorted(heads):
+                host = self._choose_host(query)
                 if host is not None:
-                    heapq.heappop(self._lines[is_long(question.expected)])
-                    self._add(host.peer, question.expected)
-                    return host.peer, question
+                    heapq.heappop(self._heaps[is_long(query.expected)])
+                    self._add_pending(host.peer, query.expected)
+                    return host.peer, query
         return None
 
-    def _host_for(self, question):
-        """Return the host that is to ask a question, or None where none has time."""
-        if is_long(question.expected) and self._waits_for_others():
+    def _choose_host(self, query):
+        """Return the host that should send a query, or None if all are busy."""
+        if is_long(query.expected) and self._awaits_peer_answers():
             return None
-        return choose_host(question.expected, self._loads())
+        return choose_host(query.expected, self._host_loads())
 
-    def _drop_needless(self, line):
-        """Drop the first questions of a line that nobody needs any more.
+    def _drop_unneeded(self, heap):
+        """Drop the first queries of a heap whose answers are no longer needed.
 
-        Those of an owner that was replaced, or on jobs that are over, would go before
-        those that somebody waits for.
+        Queries of a replaced owner, or about jobs that have ended, would otherwise be
+        sent before those whose answers are still awaited.
         """
-        while line and not line[0].is_needed():
-            question = heapq.heappop(line)
-            error = AdviceNotNeeded(step=str(question.key))
-            self._host.executor.submit(question.answer.set_exception, error)
+        while heap and not heap[0].is_needed():
+            query = heapq.heappop(heap)
+            error = AdviceNotNeeded(step=str(query.key))
+            self._host.executor.submit(query.answer.set_exception, error)
 
-    def _send(self, peer, question):
+    def _send(self, peer, query):
         try:
-            asked = self._ask_through(peer, question)
+            asked = self._ask_via(peer, query)
         except Exception as error:
-            self._note_failure(peer, question, error)
+            self._note_failure(peer, query, error)
             return
-        asked.add_done_callback(lambda done: self._pass(done, peer, question))
+        asked.add_done_callback(lambda done: self._complete(done, peer, query))
 
-    def _waits_for_others(self):
-        """Return whether other hosts are there, and about to be heard.
+    def _awaits_peer_answers(self):
+        """Return whether there are other hosts whose first answers are due soon.
 
-        As a pool is taken over its new owner has heard none yet. The first long
-        question would take up its own turn, and urgent steps wait behind it.
+        Just after a takeover the new owner has no answer from any of them. It would
+        send the first long query itself, and urgent steps would wait behind it.
         """
         peers = self._host.peers
         if peers.live() or not peers.all():
-            self._alone_since = None
+            self._no_peer_since = None
             return False
         now = self._host.clock.monotonic()
-        if self._alone_since is None:
-            self._alone_since = now
-        return now - self._alone_since < _ACQUAINTED_SECONDS
+        if self._no_peer_since is None:
+            self._no_peer_since = now
+        return now - self._no_peer_since < _FIRST_ANSWERS_SECONDS
 
-    def _loads(self):
+    def _host_loads(self):
         owners = self._host.owner_names()
         settings = self._host.settings
-        loads = [HostLoad(None, self._seconds, settings.host_name in owners)]
+        loads = [HostLoad(None, self._pending_seconds, settings.host_name in owners)]
         for peer in self._host.peers.live():
-            # A host that has just gone has nothing to ask and counts as live for
-            # a moment: each question would be sent to it in turn, 0.2 s apart.
+            # A host that has just stopped has no pending queries and counts as live
+            # for a moment: each query would be sent to it in turn, 0.2 s apart.
             if peer.advice_failed_at < peer.answered_at:
                 is_far = peer.region != settings.region
                 load = HostLoad(
@@ -229,62 +237,62 @@
                 loads.append(load)
         return loads
 
-    def _ask_through(self, peer, question):
-        key, workers, expected = question.key, question.workers, question.expected
+    def _ask_via(self, peer, query):
+        key, workers, expected = query.key, query.workers, query.expected
         if peer is None:
             return self._own_client.ask(str(key), workers, expected)
         return self._host.peers.ask_advice(peer, key, workers, expected)
 
-    def _pass(self, done, peer, question):
+    def _complete(self, done, peer, query):
         error = done.exception()
         if error is not None:
-            self._note_failure(peer, question, error)
+            self._note_failure(peer, query, error)
             return
-        self._note_done(peer, question.expected)
-        self._observe("answered", question)
+        self._note_end(peer, query.expected)
+        self._observe("answered", query)
         if peer is None:
-            question.answer.set_result(done.result())
+            query.answer.set_result(done.result())
         else:
             tickets = done.result().tickets
-            question.answer.set_result({one.worker: one.ticket for one in tickets})
-        self._give_out_soon()
+            query.answer.set_result({one.worker: one.ticket for one in tickets})
+        self._schedule_dispatch()
 
-    def _note_failure(self, peer, question, error):
-        self._note_done(peer, question.expected)
+    def _note_failure(self, peer, query, error):
+        self._note_end(peer, query.expected)
         if peer is None or not isinstance(error, PeerUnreachable | PeerDisconnected):
-            self._observe("failed", question)
-            question.answer.set_exception(error)
+            self._observe("failed", query)
+            query.answer.set_exception(error)
         else:
-            ADVICE_MOVED.write(step=str(question.key), peer=peer.name, error=str(error))
+            ADVICE_MOVED.write(step=str(query.key), peer=peer.name, error=str(error))
             peer.advice_failed_at = self._host.clock.monotonic()
             with self._lock:
-                self._put(question)
-        self._give_out_soon()
+                self._push(query)
+        self._schedule_dispatch()
 
-    def _observe(self, outcome, question):
-        took = self._host.clock.monotonic() - question.asked_at
+    def _observe(self, outcome, query):
+        took = self._host.clock.monotonic() - query.asked_at
         ADVICE_SECONDS.labels(outcome).observe(took)
 
-    def _note_done(self, peer, expected):
+    def _note_end(self, peer, expected):
         with self._lock:
-            self._add(peer, -expected)
+            self._add_pending(peer, -expected)
 
-    def _add(self, peer, seconds):
+    def _add_pending(self, peer, seconds):
         if peer is None:
-            self._seconds += seconds
+            self._pending_seconds += seconds
         else:
             peer.pending_advice_seconds += seconds
 
     def answer(self, query):
-        """Return a future of the reply to another host's question."""
+        """Return a future of the reply to another host's query."""
         answer = Future()
         expected = query.expected_milliseconds / 1000
         with self._lock:
-            self._add(None, expected)
+            self._add_pending(None, expected)
         asked = self._own_client.ask(query.step, list(query.workers), expected)
 
-        def note(done):
-            self._note_done(None, expected)
+        def complete(done):
+            self._note_end(None, expected)
             if done.exception() is not None:
                 answer.set_exception(done.exception())
                 return
@@ -294,5 +302,5 @@
             ]
             answer.set_result(AdviceReply(tickets=tickets))
 
-        asked.add_done_callback(note)
+        asked.add_done_callback(complete)
         return answer
--- a/tests/entry/test_advice_turns.py
+++ b/tests/entry/test_advice_balancing.py
@@ -1,8 +1,8 @@
-"""Short questions for advice do not wait behind long ones."""
+"""Short advice queries do not wait behind long ones."""
 
 import pytest
 
-from papayapick.entry.advice_turns import HostLoad, choose_host
+from papayapick.entry.advice_balancing import HostLoad, choose_host
 from papayapick.jobs.documents import StepKey
 from tests.pool.advisers import AdvisedHost
 
@@ -23,8 +23,8 @@
     return host.clock.monotonic() - begin
 
 
-def test_urgent_step_does_not_wait_while_patient_ones_ask_for_long():
-    """Guards against hosts that are all busy with long questions at a takeover."""
+def test_urgent_step_does_not_wait_for_long_queries_of_non_urgent_ones():
+    """Guards against hosts that are all busy with long queries at a takeover."""
     host = AdvisedHost(peers=7, queue_of=None)
     host.hear_peers()
     for number in range(30):
@@ -33,8 +33,8 @@
     assert max(took) < 0.1
 
 
-def test_new_owner_that_has_heard_nobody_keeps_its_own_turn_for_urgent_steps():
-    """Guards against a first long question that is asked before others are heard."""
+def test_new_owner_without_answers_from_peers_keeps_its_client_for_urgent_steps():
+    """Guards against a long query that the new owner sends before peers answer."""
     host = AdvisedHost(peers=7, queue_of=None)
     long = _ask(host, 1, LONG_SECONDS)
     assert _seconds_until(host, _ask(host, 2, SHORT_SECONDS)) < 0.1
@@ -42,8 +42,8 @@
     assert _seconds_until(host, long) <= LONG_SECONDS + 0.02
 
 
-def test_host_that_is_alone_asks_long_questions_too():
-    """Guards against questions that are never asked."""
+def test_single_host_sends_long_queries_too():
+    """Guards against queries that are never sent."""
     host = AdvisedHost(peers=0, queue_of=None)
     assert _seconds_until(host, _ask(host, 1, LONG_SECONDS)) <= LONG_SECONDS + 0.02
 
@@ -66,8 +66,8 @@
     assert (None if found is None else hosts.index(found)) == chosen
 
 
-def test_question_is_not_hidden_while_another_one_is_being_sent():
-    """Guards against a question that waits for whoever connects to a dead host."""
+def test_query_is_not_blocked_while_another_one_is_being_sent():
+    """Guards against a query that waits for a task connecting to a dead host."""
     host = AdvisedHost(peers=3, queue_of=None)
     host.hear_peers()
     asked = []
@@ -77,11 +77,11 @@
         asked.append(key)
         return through(peer, key, workers, expected)
 
-    def ask_slowly(*question):
+    def ask_slowly(*query):
         # The calls of the other hosts end while this one is still being sent.
         host.clock.advance(LONG_SECONDS)
         host.advise()
-        return own(*question)
+        return own(*query)
 
     host.ask_advice, host.advice._own_client.ask = ask_through, ask_slowly
     for number in range(4):
--- a/tests/entry/test_advice_dispatch.py
+++ b/tests/entry/test_advice_dispatch.py
@@ -1,4 +1,4 @@
-"""Questions for the advice service are spread over the hosts that live."""
+"""Distribution of advice queries over the live hosts."""
 
 from concurrent.futures import Future
 
@@ -15,7 +15,7 @@
 
 
 class Executor:
-    """Run at once."""
+    """Run each task at once, in the calling thread."""
 
     def submit(self, step, *args):
         step(*args)
@@ -39,7 +39,7 @@
 
 
 class Host:
-    """Stand for an entry host and for its peers."""
+    """Stand in for an entry host and for its peers."""
 
     def __init__(self, *peers):
         self.clock = ManualClock(100.0)
@@ -70,45 +70,45 @@
 
 
 @pytest.mark.parametrize("error", [PeerUnreachable, PeerDisconnected])
-def test_question_to_a_host_that_has_gone_is_asked_elsewhere_at_once(error):
-    # A host stops. For 0.8 s it still counts as live and has the least to ask, so
-    # each question went to it, failed, and was asked again 0.2 s later with the same
-    # result: urgent steps waited up to a second for advice.
+def test_query_to_a_stopped_host_is_sent_elsewhere_at_once(error):
+    # Guards against urgent steps that wait up to a second for advice. A stopped host
+    # counts as live for 0.8 s and has no pending queries, so each query was sent to
+    # it, failed, and was retried 0.2 s later with the same result.
     gone = Peer("gone", error(address="gone"))
     other = Peer("other")
     gone.pending_advice_seconds = -2.0
-    desk = AdviceDispatcher(Host(gone, other), pool=None)
-    assert desk.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
-    assert desk.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
+    dispatcher = AdviceDispatcher(Host(gone, other), pool=None)
+    assert dispatcher.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
+    assert dispatcher.ask(KEY, ["w1"], 0.1).result(1) == {"w1": "t"}
     assert (gone.asked, other.asked) == (1, 2)
     assert gone.pending_advice_seconds == -2.0
 
 
-def test_host_that_answers_again_is_asked_again():
+def test_host_that_answers_again_is_sent_queries_again():
     back = Peer("back", PeerUnreachable(address="back"))
     other = Peer("other")
     back.pending_advice_seconds = -2.0
     host = Host(back, other)
-    desk = AdviceDispatcher(host, pool=None)
-    desk.ask(KEY, ["w1"], 0.1).result(1)
+    dispatcher = AdviceDispatcher(host, pool=None)
+    dispatcher.ask(KEY, ["w1"], 0.1).result(1)
     back.error = None
     host.clock.advance(1.0)
     back.answered_at = host.clock.monotonic()
-    desk.ask(KEY, ["w1"], 0.1).result(1)
+    dispatcher.ask(KEY, ["w1"], 0.1).result(1)
     assert back.asked == 2
 
 
-def test_refusal_of_the_service_is_told():
-    # The service itself gave no advice: another host would hear the same.
+def test_refusal_of_the_service_is_passed_on():
+    # The service itself refused, so another host would get the same answer.
     peer = Peer("p", ValueError("no advice"))
-    desk = AdviceDispatcher(Host(peer), pool=None)
+    dispatcher = AdviceDispatcher(Host(peer), pool=None)
     with pytest.raises(ValueError, match="no advice"):
-        desk.ask(KEY, ["w1"], 0.1).result(1)
+        dispatcher.ask(KEY, ["w1"], 0.1).result(1)
     assert peer.asked == 1
 
 
-class Turns:
-    """Ask one question at a time, and end it when the test says so."""
+class ManualAdviceClient:
+    """Record queries; answer or fail the oldest when the test says so."""
 
     def __init__(self):
         self.asked = []
@@ -130,76 +130,75 @@
     return StepKey(f"{number:016x}", 0, 0)
 
 
-def alone():
-    """Return a desk without other hosts, and who asks for it."""
+def single_host():
+    """Return a host without peers, its dispatcher, and its client."""
     host = Host()
-    desk = AdviceDispatcher(host, pool=None)
-    desk._own_client = Turns()
-    return host, desk, desk._own_client
+    dispatcher = AdviceDispatcher(host, pool=None)
+    dispatcher._own_client = ManualAdviceClient()
+    return host, dispatcher, dispatcher._own_client
 
 
-def test_urgent_question_goes_before_patient_ones_that_wait():
-    """An urgent step waited for seconds behind questions of a second each.
+def test_urgent_query_is_sent_before_pending_non_urgent_ones():
+    """Guards against an urgent step that waits for seconds behind queries of 1 s each.
 
-    A burst of large jobs had asked first. What is urgent is asked next, and what is
-    patient not later than its own delay says, however many urgent ones come.
+    After a burst of large jobs the urgent query is sent next. A non-urgent query is
+    delayed no longer than its own limit, however many urgent ones arrive.
     """
-    host, desk, turns = alone()
+    host, dispatcher, client = single_host()
     for number in range(3):
-        desk.ask(key_of(number), ["w1"], 1.0, delay=1.0)
+        dispatcher.ask(key_of(number), ["w1"], 1.0, delay=1.0)
     host.clock.advance(0.1)
-    desk.ask(key_of(9), ["w1"], 0.05)
+    dispatcher.ask(key_of(9), ["w1"], 0.05)
     for _ in range(2):
-        turns.end_one()
-    assert turns.asked[1] == str(key_of(9))
+        client.end_one()
+    assert client.asked[1] == str(key_of(9))
     host.clock.advance(1.0)
-    desk.ask(key_of(8), ["w1"], 0.05)
-    turns.end_one()
-    assert str(key_of(8)) not in turns.asked
+    dispatcher.ask(key_of(8), ["w1"], 0.05)
+    client.end_one()
+    assert str(key_of(8)) not in client.asked
 
 
-def test_question_that_is_asked_again_keeps_its_place():
-    host, desk, turns = alone()
+def test_query_about_the_same_step_keeps_its_place():
+    host, dispatcher, client = single_host()
     for number in range(4):
-        desk.ask(key_of(number), ["w1"], 1.0)
+        dispatcher.ask(key_of(number), ["w1"], 1.0)
         host.clock.advance(0.1)
-    desk.ask(key_of(1), ["w1", "w2"], 1.0)
+    dispatcher.ask(key_of(1), ["w1", "w2"], 1.0)
     for _ in range(4):
-        turns.end_one()
-    # And it is asked once.
-    assert turns.asked == [str(key_of(number)) for number in range(4)]
+        client.end_one()
+    # The repeated query is sent only once.
+    assert client.asked == [str(key_of(number)) for number in range(4)]
 
 
-def test_short_questions_follow_each_other_without_a_pause():
-    _, desk, turns = alone()
+def test_short_queries_follow_each_other_without_a_pause():
+    _, dispatcher, client = single_host()
     for number in range(6):
-        desk.ask(key_of(number), ["w1"], 0.04)
-    assert len(turns.asked) == 4
+        dispatcher.ask(key_of(number), ["w1"], 0.04)
+    assert len(client.asked) == 4
 
 
-def test_question_that_nobody_needs_any_more_is_not_asked():
-    """Hosts went on asking for an owner that had been replaced.
+def test_query_whose_answer_is_no_longer_needed_is_not_sent():
+    """Guards against queries of a replaced owner or about cancelled jobs.
 
-    Its questions stood before those of its successor at each host, and those on jobs
-    that were cancelled before those on jobs that wait.
+    They were sent before those of the new owner and those about waiting jobs.
     """
-    host, desk, turns = alone()
+    host, dispatcher, client = single_host()
     is_wanted = {0: True, 1: True, 2: True}
     answers = [
-        desk.ask(key_of(n), ["w1"], 1.0, is_needed=lambda n=n: is_wanted[n])
+        dispatcher.ask(key_of(n), ["w1"], 1.0, is_needed=lambda n=n: is_wanted[n])
         for n in range(3)
     ]
     is_wanted[1] = False
-    turns.end_one()
-    assert turns.asked == [str(key_of(0)), str(key_of(2))]
-    # The step may be asked about again at once.
+    client.end_one()
+    assert client.asked == [str(key_of(0)), str(key_of(2))]
+    # The caller is notified, so that it can ask about the step again at once.
     with pytest.raises(AdviceNotNeeded):
         answers[1].result(1)
 
 
-def test_question_that_failed_lets_the_next_one_go():
-    _, desk, turns = alone()
+def test_failed_query_lets_the_next_one_be_sent():
+    _, dispatcher, client = single_host()
     for number in range(2):
-        desk.ask(key_of(number), ["w1"], 1.0)
-    turns.fail_one()
-    assert turns.asked == [str(key_of(0)), str(key_of(1))]
+        dispatcher.ask(key_of(number), ["w1"], 1.0)
+    client.fail_one()
+    assert client.asked == [str(key_of(0)), str(key_of(1))]
--- a/tests/entry/test_beats.py
+++ b/tests/entry/test_beats.py
@@ -81,7 +81,7 @@
 
 
 def test_row_of_a_host_that_is_silent_for_long_is_removed(sender):
-    """Guard against rows of permanently replaced hosts that are never removed.
+    """Guards against rows of permanently replaced hosts that are never removed.
 
     Each owner would keep a task for every such row and try to connect for ever.
     """
@@ -118,7 +118,7 @@
 
 
 def test_beats_to_all_hosts_are_sent_at_once_when_an_owner_leaves(sender):
-    """Guard against a handover to a small host instead of the largest one.
+    """Guards against a handover to a small host instead of the largest one.
 
     A stopping owner asks for a successor in its beats. If these were sent at their
     intervals, up to 0.2 s apart, a small host that was notified first would take the
@@ -181,7 +181,7 @@
 
 
 def test_taking_a_pool_starts_no_second_sender_for_another(two_pools):
-    """Guard against a host that runs out of tasks when it takes many pools.
+    """Guards against a host that runs out of tasks when it takes many pools.
 
     Each takeover would start the senders of all its other pools a second time.
     """
@@ -190,7 +190,7 @@
 
 
 def test_host_that_registers_again_receives_beats_again(two_pools):
-    """Guard against a takeover from a working owner.
+    """Guards against a takeover from a working owner.
 
     A host that registered again under the same name and address received no beats and
     considered the owner silent.
@@ -208,7 +208,7 @@
 
 
 def test_states_of_a_pool_are_sent_by_its_own_senders_only(two_pools):
-    """Guard against sending each status once for every pool that its host owns.
+    """Guards against sending each status once for every pool that its host owns.
 
     The duplicates would also cross the link between regions.
     """
@@ -221,7 +221,7 @@
 
 
 def test_senders_of_a_stopped_owner_are_dropped(two_pools):
-    """Guard against statuses that accumulate in senders whose task has ended."""
+    """Guards against statuses that accumulate in senders whose task has ended."""
     broadcaster, candidacies = two_pools
     candidacies["a"].owner.is_stopped = True
     candidacies["a"].is_owner = False
--- a/tests/entry/test_peer_requests.py
+++ b/tests/entry/test_peer_requests.py
@@ -53,7 +53,7 @@
 
 
 def test_host_that_knows_a_newer_owner_does_not_confirm_the_old_one(beat, candidacy):
-    """Guard against a replaced owner that sends orders for two more seconds.
+    """Guards against a replaced owner that sends orders for two more seconds.
 
     The host that confirmed it had received a beat of the newer owner, but had not yet
     read its row.
@@ -65,5 +65,5 @@
 
 @pytest.mark.parametrize("pool", ["pool", "unknown"])
 def test_host_that_has_not_read_the_row_confirms_nobody(beat, pool):
-    """Guard against a replaced owner that is confirmed by hosts that just started."""
+    """Guards against a replaced owner that is confirmed by hosts that just started."""
     assert not _confirms(beat("h2", 2, pool), 2)
--- a/tests/entry/test_store_latency.py
+++ b/tests/entry/test_store_latency.py
@@ -17,7 +17,7 @@
 
 
 def test_slow_first_answer_is_replaced_by_a_faster_one(latency):
-    """Guard against a host near the store that is rated as far from it for ever."""
+    """Guards against a host near the store that is rated as far from it for ever."""
     latency.note_call("transact", "200", 0.008)
     latency.note_call("read", "200", 0.5)
     assert latency.seconds == 0.008
@@ -30,7 +30,7 @@
 def test_call_that_was_not_served_does_not_change_the_latency(
     latency, operation, outcome
 ):
-    """Guard against a distant host that claims a pool first.
+    """Guards against a distant host that claims a pool first.
 
     A refusal by an intermediary is faster than any answer of the store.
     """
