--- a/papayapick/entry/writers.py
+++ b/papayapick/entry/writers.py
@@ -1,4 +1,4 @@
-"""Write what callers hand in to the store, many requests in one transaction."""
+"""Write callers' requests to the store, many of them in one transaction."""
 
 import collections
 import threading
@@ -12,16 +12,16 @@
 from papayapick.entry.events import CONFLICT_UNCLEAR, WRITE_FAILED, WRITE_UNSETTLED
 from papayapick.entry.exceptions import AcceptanceUnknown, NotAccepted
 
-__all__ = ["Entry", "GroupWriter"]
+__all__ = ["GroupWriter", "PendingWrite"]
 
-_ENTRIES_PER_CALL = 50
+_WRITES_PER_CALL = 50
 _RETRY_SECONDS = 0.1
-# A request is tried again for so long; callers wait three seconds at most.
-_TRY_SECONDS = 2.2
+# Retries end after this time; callers wait three seconds at most.
+_DEADLINE_SECONDS = 2.2
 
 
-class Entry:
-    """Hold one write that is wanted.
+class PendingWrite:
+    """Hold one conditional write until its outcome is known.
 
     Parameters
     ----------
@@ -33,29 +33,30 @@
     Attributes
     ----------
     future : concurrent.futures.Future
-        Gives True where the row was written, False where the expectation did not
-        hold; raises ``NotAccepted`` where nothing was written and
-        ``AcceptanceUnknown`` where that is not known.
+        Gives True if the row was written and False if the expectation did not hold;
+        raises ``NotAccepted`` if nothing was written and ``AcceptanceUnknown`` if that
+        is not known.
     """
 
-    __slots__ = ("deadline", "expectation", "future", "is_unsure", "write")
+    __slots__ = ("deadline", "expectation", "future", "may_be_applied", "write")
 
     def __init__(self, expectation, write, deadline):
         self.expectation = expectation
         self.write = write
         self.deadline = deadline
         self.future = Future()
-        # A try had no answer: the row may be written, or may be written later.
-        self.is_unsure = False
+        # An attempt had no answer: the row may be written now or later.
+        self.may_be_applied = False
 
 
 class GroupWriter:
-    """Write entries in groups, each group in one transaction.
+    """Write rows in groups, each group in one transaction.
 
-    Each partition of the store is written by a task of its own while entries for it
-    wait: what comes meanwhile goes into its next group. A store that is 40 times slower
-    than usual takes 0.4 s for a transaction; with one task for all of eight partitions
-    callers waited for seven others, and half of those of a burst were too late.
+    Each partition of the store is written by a task of its own as long as it has
+    pending writes. Those that arrive during a transaction form the next group. A store
+    that is 40 times slower than usual takes 0.4 s for a transaction: with one task for
+    all of eight partitions, callers would wait for the other seven, and half of the
+    callers of a burst would exceed their time limits.
 
     Parameters
     ----------
@@ -63,7 +64,8 @@
     clock : Clock
     stopping : threading.Event
     executor : concurrent.futures.Executor
-        Runs the tasks, and settles entries whose fate is unsure, while others go on.
+        Runs the tasks of the partitions and the retries of writes with an unknown
+        outcome.
     """
 
     __slots__ = ("_clock", "_executor", "_lock", "_stopping", "_store", "_waiting")
@@ -74,125 +76,127 @@
         self._clock = clock
         self._stopping = stopping
         self._lock = threading.Lock()
-        # Entries that wait, by partition; a partition stands here while its task runs.
+        # Pending writes by partition; a partition is present while its task runs.
         self._waiting = {}
 
     def submit(self, expectation, write):
-        """Write a row under a condition.
+        """Queue a conditional write.
 
         Returns
         -------
         concurrent.futures.Future
-            As ``Entry.future``.
+            As ``PendingWrite.future``.
         """
-        deadline = self._clock.monotonic() + _TRY_SECONDS
-        entry = Entry(expectation, write, deadline)
+        deadline = self._clock.monotonic() + _DEADLINE_SECONDS
+        pending = PendingWrite(expectation, write, deadline)
         with self._lock:
             is_idle = write.partition not in self._waiting
-            self._waiting.setdefault(write.partition, collections.deque()).append(entry)
+            self._waiting.setdefault(write.partition, collections.deque()).append(
+                pending
+            )
         if is_idle:
-            self._executor.submit(self._write_partition, write.partition)
-        return entry.future
+            self._executor.submit(self._drain_partition, write.partition)
+        return pending.future
 
-    def _write_partition(self, partition):
-        """Write what waits for a partition, until nothing does."""
+    def _drain_partition(self, partition):
+        """Write the groups of a partition until no write is pending."""
         while group := self._next_group(partition):
             try:
-                self._write(group)
+                self._write_group(group)
             except Exception:
-                # The task must go on: those behind would wait for ever.
-                WRITE_FAILED.write_failure(**_named(group))
-                for entry in group:
-                    if not entry.future.done():
-                        entry.future.set_exception(AcceptanceUnknown())
+                # The task must go on, or later writes would stay pending for ever.
+                WRITE_FAILED.write_failure(**_log_fields(group))
+                for pending in group:
+                    if not pending.future.done():
+                        pending.future.set_exception(AcceptanceUnknown())
 
     def _next_group(self, partition):
-        """Return entries that can go together, the oldest first."""
+        """Remove and return writes that fit in one transaction, the oldest first."""
         group, keys = [], set()
         with self._lock:
             waiting = self._waiting[partition]
-            # The same id twice: the second waits for the first.
+            # A second write of the same key must wait for the first.
             while (
                 waiting
-                and len(group) < _ENTRIES_PER_CALL
+                and len(group) < _WRITES_PER_CALL
                 and waiting[0].write.key not in keys
             ):
-                entry = waiting.popleft()
-                keys.add(entry.write.key)
-                group.append(entry)
+                pending = waiting.popleft()
+                keys.add(pending.write.key)
+                group.append(pending)
             if not group:
                 del self._waiting[partition]
         return group
 
-    def _write(self, group):
-        rest = self._try_once(group)
-        if rest:
-            # The answer was lost. Those who come later must not wait until that
-            # is settled: they are refused at once while the store is away.
-            self._executor.submit(self._settle, rest)
+    def _write_group(self, group):
+        unsettled = self._try_group(group)
+        if unsettled:
+            # The answer was lost. Later writes must not wait until this group is
+            # settled: while the store is unavailable, they are refused at once.
+            self._executor.submit(self._retry_until_settled, unsettled)
 
-    def _settle(self, group):
+    def _retry_until_settled(self, group):
         while group:
             self._clock.wait(self._stopping, _RETRY_SECONDS)
-            group = self._try_once(group)
+            group = self._try_group(group)
 
-    def _try_once(self, group):
-        """Write a group; return the entries whose fate is not settled."""
+    def _try_group(self, group):
+        """Try to write a group; return the writes whose outcome is still unknown."""
         while group:
             try:
                 self._store.transact(
-                    [entry.expectation for entry in group],
-                    [entry.write for entry in group],
+                    [pending.expectation for pending in group],
+                    [pending.write for pending in group],
                 )
             except ConditionFailed as error:
-                group = self._settle_conflicts(group, error.rows)
+                group = self._resolve_conflicts(group, error.rows)
                 continue
             except StoreRefused:
-                return self._give_up_late(group, is_unsure=False)
+                return self._fail_refused_or_expired(group, may_be_applied=False)
             except TableUnavailable as error:
-                WRITE_UNSETTLED.write(**_named(group), error=str(error))
-                return self._give_up_late(group, is_unsure=True)
-            for entry in group:
-                entry.future.set_result(True)
+                WRITE_UNSETTLED.write(**_log_fields(group), error=str(error))
+                return self._fail_refused_or_expired(group, may_be_applied=True)
+            for pending in group:
+                pending.future.set_result(True)
             return []
         return []
 
-    def _settle_conflicts(self, group, rows):
-        """Settle the entries whose condition did not hold; return the others."""
-        found = {(row.table, row.key): row.version for row in rows}
-        rest = []
-        for entry in group:
-            wanted = entry.expectation
-            version = found.get((wanted.table, wanted.key), 0)
-            if version == wanted.version:
-                rest.append(entry)
+    def _resolve_conflicts(self, group, rows):
+        """Settle the writes whose condition did not hold; return the others."""
+        versions = {(row.table, row.key): row.version for row in rows}
+        unsettled = []
+        for pending in group:
+            expectation = pending.expectation
+            version = versions.get((expectation.table, expectation.key), 0)
+            if version == expectation.version:
+                unsettled.append(pending)
             else:
-                entry.future.set_result(False)
-        if len(rest) == len(group):
-            # The store says that a condition failed and shows none that did.
-            CONFLICT_UNCLEAR.write(**_named(group))
-            return self._give_up_late(group, is_unsure=False)
-        return rest
-
-    def _give_up_late(self, group, is_unsure):
+                pending.future.set_result(False)
+        if len(unsettled) == len(group):
+            # The store reported a failed condition, but all of them hold.
+            CONFLICT_UNCLEAR.write(**_log_fields(group))
+            return self._fail_refused_or_expired(group, may_be_applied=False)
+        return unsettled
+
+    def _fail_refused_or_expired(self, group, may_be_applied):
         now = self._clock.monotonic()
-        rest = []
-        for entry in group:
-            entry.is_unsure = entry.is_unsure or is_unsure
-            if not entry.is_unsure:
-                # Nothing was done: the caller learns at once and may come back.
+        unsettled = []
+        for pending in group:
+            pending.may_be_applied = pending.may_be_applied or may_be_applied
+            if not pending.may_be_applied:
+                # Nothing was written: the caller is refused at once and may retry.
                 error = NotAccepted(reason="the store refuses writes")
-                entry.future.set_exception(error)
-            elif now > entry.deadline:
-                entry.future.set_exception(AcceptanceUnknown())
+                pending.future.set_exception(error)
+            elif now > pending.deadline:
+                pending.future.set_exception(AcceptanceUnknown())
             else:
-                rest.append(entry)
-        return rest
+                unsettled.append(pending)
+        return unsettled
 
 
-def _named(group):
-    """Return the fields by which a line names a group."""
+def _log_fields(group):
+    """Return the fields that identify a group in log events."""
     return {
-        "request_ids": [entry.write.key for entry in group],
+        "request_ids": [pending.write.key for pending in group],
         "partition": group[0].write.partition,
     }
--- a/tests/entry/test_writers.py
+++ b/tests/entry/test_writers.py
@@ -1,4 +1,4 @@
-"""Writing what callers hand in, in groups."""
+"""Writing callers' requests in groups."""
 
 import threading
 
@@ -13,7 +13,7 @@
 
 
 class Store:
-    """Keep rows; take failures by a script, before or after the write."""
+    """Keep rows in memory; fail as scripted, before or after the write."""
 
     def __init__(self):
         self.rows = {}
@@ -42,7 +42,7 @@
 
 
 class Executor:
-    """Run tasks when told, after what else the test does."""
+    """Collect tasks, and run them when the test says so."""
 
     def __init__(self):
         self.tasks = []
@@ -80,7 +80,7 @@
         writer._executor.run_next()
 
 
-def test_what_waits_goes_in_one_call(writer, store):
+def test_pending_writes_go_into_one_call(writer, store):
     futures = [_submit(writer, f"j{number}") for number in range(5)]
     _drain(writer)
     assert [future.result(0) for future in futures] == [True] * 5
@@ -93,14 +93,14 @@
     assert [future.result(0) for future in futures] == [True, False]
 
 
-def test_id_that_is_there_does_not_spoil_its_group(writer, store):
+def test_existing_id_does_not_fail_its_group(writer, store):
     store.rows["j1"] = StoredRow("jobs", "pool", "j1", {}, 2)
     futures = [_submit(writer, "j1"), _submit(writer, "j2")]
     _drain(writer)
     assert [future.result(0) for future in futures] == [False, True]
 
 
-def test_refused_write_is_told_at_once(writer, store):
+def test_refused_write_fails_at_once(writer, store):
     store.script = [(StoreRefused(), False)]
     future = _submit(writer, "j1")
     _drain(writer)
@@ -109,9 +109,9 @@
 
 
 def test_lost_answer_is_settled_by_the_row(writer, store):
-    """A caller would be told "unknown" for a job that is stored.
+    """Guards against an unknown outcome for a job that is stored.
 
-    The write was applied and its answer lost; the second try finds the row.
+    The write was applied and its answer lost; the second attempt finds the row.
     """
     store.script = [(TableUnavailable(), True)]
     future = _submit(writer, "j1")
@@ -120,11 +120,11 @@
     assert "j1" in store.rows
 
 
-def test_refusal_after_a_lost_answer_is_not_told_as_not_accepted(writer, store):
-    """A caller is told "never runs", and the job runs.
+def test_refusal_after_a_lost_answer_is_not_reported_as_not_accepted(writer, store):
+    """Guards against a job that runs although its caller was told that it never will.
 
-    The first try had no answer and may be applied seconds later; the store then
-    refused the second. Only "unknown" is true.
+    The first attempt had no answer and may be applied seconds later; the store then
+    refused the second. The outcome is unknown.
     """
     store.script = [(TableUnavailable(), False)] + [(StoreRefused(), False)] * 60
     future = _submit(writer, "j1")
@@ -132,12 +132,11 @@
     assert isinstance(future.exception(0), AcceptanceUnknown)
 
 
-def test_later_callers_do_not_wait_for_an_unsure_one(writer, store, executor):
-    """A caller waits two seconds for "not accepted".
+def test_later_callers_do_not_wait_for_an_unknown_outcome(writer, store, executor):
+    """Guards against a caller that waits two seconds to be refused.
 
-    The store went silent. The first request had no answer and was tried again
-    until its time was over; those behind it waited though nothing of theirs was
-    sent.
+    The store stopped answering. The first request had no answer and was retried until
+    its deadline; later requests must not wait for it, since they were never sent.
     """
     store.script = [(TableUnavailable(), False)] + [(StoreRefused(), False)] * 60
     first, later = _submit(writer, "j1"), None
@@ -152,10 +151,10 @@
 
 
 def test_partitions_do_not_wait_for_each_other(writer, executor, store):
-    """Half of the counts of a burst come too late: the store is slow.
+    """Guards against a burst of jobs that are too late while the store is slow.
 
     A transaction takes 0.4 s. The jobs of one host lie in eight partitions, which the
-    store serves side by side; written one after the other, the last waits 3 s.
+    store serves in parallel; written one after the other, the last would wait 3 s.
     """
     futures = [_submit(writer, f"j{number}", f"p{number % 3}") for number in range(6)]
     assert len(executor.tasks) == 3
@@ -164,7 +163,7 @@
     assert sorted(store.calls) == [["j0", "j3"], ["j1", "j4"], ["j2", "j5"]]
 
 
-def test_what_comes_during_a_write_goes_into_the_next_group(writer, executor, store):
+def test_requests_during_a_transaction_form_the_next_group(writer, executor, store):
     transact = store.transact
     late = []
 
@@ -182,7 +181,7 @@
     assert all(future.result(0) for future in late)
 
 
-def test_fault_of_one_group_does_not_stop_its_partition(writer, store):
+def test_exception_in_one_group_does_not_stop_its_partition(writer, store):
     store.script = [(KeyError("a fault"), False)]
     futures = [_submit(writer, "j1")]
     _drain(writer)
