--- a/papayapick/entry/joining.py
+++ b/papayapick/entry/joining.py
@@ -1,4 +1,4 @@
-"""Join the cell: its key, and this host's row."""
+"""Join the cell: read or create its key, and register this host."""
 
 import base64
 import os
@@ -17,10 +17,10 @@
 
 
 def cell_key(host):
-    """Return the key of the cell, made by the first process that asks."""
+    """Return the key of the cell; the first process to ask for it creates it."""
     expectation = Expectation(CELL_TABLE, _KEY_PARTITION, "key", 0)
-    fresh = base64.b64encode(os.urandom(_KEY_BYTES)).decode()
-    write = RowWrite(CELL_TABLE, _KEY_PARTITION, "key", {"key": fresh})
+    new_key = base64.b64encode(os.urandom(_KEY_BYTES)).decode()
+    write = RowWrite(CELL_TABLE, _KEY_PARTITION, "key", {"key": new_key})
 
     def try_once():
         for row in host.store.read(CELL_TABLE, _KEY_PARTITION).rows:
@@ -28,19 +28,20 @@
         try:
             host.store.transact([expectation], [write])
         except ConditionFailed:
-            # Another host has made it since the reading above: that one is read.
+            # Another host has created the key since the read above. The caller
+            # repeats the read.
             return None
         return None
 
     while True:
-        key = _persist(host, "key", try_once)
+        key = _retry_while_unavailable(host, "key", try_once)
         if key is not None:
-            CELL_KEY_FOUND.write(made_here=key == base64.b64decode(fresh))
+            CELL_KEY_FOUND.write(made_here=key == base64.b64decode(new_key))
             return key
 
 
 def register(host):
-    """Let the other hosts know this one."""
+    """Store this host's row, by which the other hosts find it."""
     settings = host.settings
     address, port = settings.peer_address
     value = {
@@ -51,13 +52,14 @@
         "processors": settings.processors,
     }
     write = RowWrite(CELL_TABLE, HOSTS_PARTITION, settings.host_name, value)
-    _persist(host, "register", lambda: host.store.transact([], [write]))
+    _retry_while_unavailable(host, "register", lambda: host.store.transact([], [write]))
 
 
-def _persist(host, name, step):
+def _retry_while_unavailable(host, name, call):
+    """Repeat a call until the store answers it, and return its result."""
     while True:
         try:
-            return step()
+            return call()
         except TableUnavailable as error:
             STORE_AWAY.write(step=name, error=str(error))
             host.clock.wait(host.stopping, _RETRY_SECONDS)
--- a/papayapick/entry/metrics.py
+++ b/papayapick/entry/metrics.py
@@ -1,4 +1,4 @@
-"""What an entry host counts and times towards its callers and the platform."""
+"""Metrics of an entry host about its callers and its platform."""
 
 from papayapick.observability.registry import Place, counter, gauge, histogram
 
--- a/papayapick/entry/peers.py
+++ b/papayapick/entry/peers.py
@@ -1,4 +1,4 @@
-"""Know the other entry hosts, and ask them for advice."""
+"""Keep track of the other entry hosts and send them queries."""
 
 import threading
 
@@ -16,15 +16,15 @@
 __all__ = ["HOSTS_PARTITION", "Peer", "Peers"]
 
 HOSTS_PARTITION = "hosts"
-_CONNECT_SECONDS = 0.4
-_QUERY_SECONDS = 0.2
-_QUERY_TRIES = 2
-# A host that answered so lately is asked for advice.
-_LIVE_SECONDS = 0.8
+_CONNECT_TIMEOUT_SECONDS = 0.4
+_QUERY_TIMEOUT_SECONDS = 0.2
+_QUERY_ATTEMPTS = 2
+# A host counts as live for this long after an answer.
+_LIVE_WINDOW_SECONDS = 0.8
 
 
 class Peer:
-    """Hold one other entry host.
+    """Hold what is known about one other entry host.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     processors : float
         Cores that the host has.
     version : int
-        Of the row that names it.
+        Version of its row in the store.
     """
 
     __slots__ = (
@@ -43,7 +43,7 @@
         "pending_advice_seconds",
         "answered_at",
         "client",
-        "failed_at",
+        "relay_failed_at",
         "name",
         "processors",
         "region",
@@ -61,17 +61,18 @@
         self.region = region
         self.client = client
         self.answered_at = 0.0
-        self.failed_at = float("-inf")
-        # When it last could not be reached for advice.
+        # Time at which a store call relayed through it last failed.
+        self.relay_failed_at = float("-inf")
+        # Time at which an advice query to it last failed.
         self.advice_failed_at = float("-inf")
-        # Seconds since the store last answered it, as it said.
+        # Seconds since the store last answered that host, as it reported.
         self.store_age = float("inf")
-        # What the calls of the advice service that it was given still take.
+        # Time that the advice queries already assigned to it still take.
         self.pending_advice_seconds = 0.0
 
 
 class Peers:
-    """Hold the other hosts by name, from their rows in the store.
+    """Hold the other hosts by name, as read from their rows in the store.
 
     Parameters
     ----------
@@ -97,12 +98,14 @@
             return list(self._peers.values())
 
     def live(self):
-        """Return those that have answered lately."""
+        """Return the hosts that have answered recently, as a list."""
         now = self._host.clock.monotonic()
-        return [peer for peer in self.all() if now - peer.answered_at < _LIVE_SECONDS]
+        return [
+            peer for peer in self.all() if now - peer.answered_at < _LIVE_WINDOW_SECONDS
+        ]
 
     def note_row(self, row):
-        """Take in the row of a host.
+        """Add, update or remove a host by its row in the store.
 
         Parameters
         ----------
@@ -118,16 +121,16 @@
                     known.version = row.version
                     self._peers[row.key] = known
                     return
-                self._peers[row.key] = self._peer(row, address)
+                self._peers[row.key] = self._create_peer(row, address)
         if known is not None:
             known.client.close()
 
     def remove_row(self, peer):
-        """Remove the row of a host that was silent for long.
+        """Remove the row of a host that has not answered for a long time.
 
-        Hosts are replaced for good by the dozen a day; each row that stayed had every
-        owner keep a task and try to connect for ever. A host that was only cut off
-        sees that its row is gone, and registers again.
+        Dozens of hosts a day are replaced permanently. For each row left behind, every
+        owner would keep a task and try to connect for ever. A host that was only cut
+        off reads that its row is gone and registers again.
         """
         expectation = Expectation(CELL_TABLE, HOSTS_PARTITION, peer.name, peer.version)
         write = RowWrite(CELL_TABLE, HOSTS_PARTITION, peer.name, None)
@@ -138,9 +141,13 @@
             return
         HOST_FORGOTTEN.write(peer=peer.name)
 
-    def _peer(self, row, address):
+    def _create_peer(self, row, address):
         client = PeerClient(
-            address, self._cell_key, self._identity, self._executor, _CONNECT_SECONDS
+            address,
+            self._cell_key,
+            self._identity,
+            self._executor,
+            _CONNECT_TIMEOUT_SECONDS,
         )
         return Peer(
             row.key,
@@ -153,17 +160,19 @@
         )
 
     def owned_epoch(self, peer, pool):
-        """Return the epoch under which a host owns a pool now; 0 for none."""
-        for _ in range(_QUERY_TRIES):
+        """Return the epoch under which a host owns a pool, or 0 if it does not."""
+        for _ in range(_QUERY_ATTEMPTS):
             try:
-                return peer.client.ask(OwnerQuery(pool=pool), _QUERY_SECONDS).epoch
+                return peer.client.ask(
+                    OwnerQuery(pool=pool), _QUERY_TIMEOUT_SECONDS
+                ).epoch
             except WireError as error:
-                # A kept connection may be of an earlier life of that host.
+                # An open connection may be to an earlier process of that host.
                 OWNERSHIP_UNSAID.write(peer=peer.name, pool=pool, error=str(error))
         return 0
 
     def ask_advice(self, peer, key, workers, expected_seconds):
-        """Return a future of the reply of one host."""
+        """Return a future of one host's reply to an advice query."""
         query = AdviceQuery(
             step=str(key),
             workers=workers,
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -293,7 +293,7 @@
 
     def note_configuration(self, configuration):
         """Watch the pools of a new configuration, and renew queues' policies."""
-        self._queues.note(configuration)
+        self._queues.update(configuration)
         for pool in configuration.pools:
             if pool not in self._candidacies:
                 candidacy = Candidacy(self, pool)
--- a/papayapick/entry/queues.py
+++ b/papayapick/entry/queues.py
@@ -1,4 +1,4 @@
-"""Know the queues of jobs, those that are configured no more too."""
+"""Look up the queues of jobs, including queues that are no longer configured."""
 
 from papayapick.jobs.queues import Queue
 
@@ -6,24 +6,24 @@
 
 
 class KnownQueues:
-    """Hold each queue as it was last configured in the life of this process."""
+    """Hold each queue as last configured since this process started."""
 
     __slots__ = ("_queues",)
 
     def __init__(self):
         self._queues = {}
 
-    def note(self, configuration):
-        """Take in the queues of a configuration; others stay as they were."""
+    def update(self, configuration):
+        """Add or replace the queues of a configuration and keep all others."""
         self._queues.update(configuration.queues)
 
     def queue_of(self, document):
         """Return the queue of a job, as last configured.
 
-        Of a queue that was removed before this process started, or that was added by a
-        version that has not come here yet, nothing is known but what the job says.
+        If the queue was removed before this process started, or was added by a version
+        that this process has not read yet, it is built from the policy in the job.
         """
-        found = self._queues.get(document.queue)
-        if found is not None:
-            return found
+        queue = self._queues.get(document.queue)
+        if queue is not None:
+            return queue
         return Queue.from_policy(document.queue, document.pool, document.policy)
--- a/papayapick/entry/relays.py
+++ b/papayapick/entry/relays.py
@@ -1,4 +1,4 @@
-"""Reach the store through another host while this one can't."""
+"""Call the store through another host while this one cannot reach it."""
 
 import json
 import random
@@ -16,17 +16,18 @@
 
 __all__ = ["RelayedStore", "StoreRelay"]
 
-_CALL_SECONDS = 0.9
-# Callers behind this one wait too; a store 60 times slower answers within it.
-_WRITE_SECONDS = 0.5
-_PEERS_TRIED = 2
-# When no other host reaches the store either, it is down for all: they are not
-# asked again for so long.
+_RELAY_TIMEOUT_SECONDS = 0.9
+# Later callers wait for this call too. A store 60 times slower than usual answers
+# within this time.
+_WRITE_TIMEOUT_SECONDS = 0.5
+_MAX_PEERS_TRIED = 2
+# If no other host reaches the store either, it is down for all hosts: none of them is
+# asked again for this time.
 _PAUSE_SECONDS = 0.5
-_SILENT_SECONDS = 0.4
-# A host that did not answer is not asked again for so long: the rows of hosts that
-# were removed stay for a while.
-_AVOID_SECONDS = 5.0
+_TIMED_OUT_SECONDS = 0.4
+# A host that did not answer is not asked again for this time: the rows of removed
+# hosts remain for a while.
+_PEER_PAUSE_SECONDS = 5.0
 _DONE = "done"
 _CONFLICT = "conflict"
 _REFUSED = "refused"
@@ -34,22 +35,22 @@
 
 
 class RelayedStore:
-    """Call the store, or have another host call it.
+    """Call the store directly, or through another host if that fails.
 
-    Some hosts are cut off from the store, or turned away by it, while the others
-    are served; without this their callers' jobs would be refused, and those whose
-    write had no answer could not be settled.
+    Some hosts can be cut off from the store, or refused by it, while the others are
+    served. Without the relay, jobs of their callers would be refused, and writes
+    without an answer could not be settled.
 
     Parameters
     ----------
     host : EntryHost
     """
 
-    __slots__ = ("_host", "_paused_partitions", "_paused_until", "_preferred")
+    __slots__ = ("_host", "_paused_partitions", "_paused_until", "_last_working")
 
     def __init__(self, host):
         self._host = host
-        self._preferred = None
+        self._last_working = None
         self._paused_until = 0.0
         # Monotonic seconds until which a partition is not called directly.
         self._paused_partitions = {}
@@ -66,13 +67,15 @@
         )
         store = self._host.store
         return self._call(
-            lambda: store.transact(expectations, writes, seconds=_WRITE_SECONDS),
+            lambda: store.transact(
+                expectations, writes, seconds=_WRITE_TIMEOUT_SECONDS
+            ),
             call,
             writes[0].partition,
         )
 
     def note_return(self):
-        """Try the store, and other hosts, at once again: it has come back."""
+        """End all pauses, since the store is available again."""
         self._paused_partitions = {}
         self._paused_until = 0.0
 
@@ -87,21 +90,21 @@
 
         return self._call(read, call, partition)
 
-    def _call(self, directly, call, partition):
+    def _call(self, call_directly, call, partition):
         failure = StoreRefused()
-        if self._is_tried(partition):
+        if self._may_call_directly(partition):
             asked_at = self._host.clock.monotonic()
             try:
-                found = directly()
+                result = call_directly()
             except TableUnavailable as error:
-                self._note_failure(partition, asked_at)
+                self._note_direct_failure(partition, asked_at)
                 failure = error
             else:
                 self._host.store_health.note_answer()
-                return found
-        for peer in self._candidates():
+                return result
+        for peer in self._relay_peers():
             try:
-                return self._relayed(peer, call)
+                return self._call_via(peer, call)
             except ConditionFailed:
                 raise
             except TableUnavailable as error:
@@ -110,53 +113,54 @@
         self._paused_until = self._host.clock.monotonic() + _PAUSE_SECONDS
         raise failure
 
-    def _is_tried(self, partition):
+    def _may_call_directly(self, partition):
         now = self._host.clock.monotonic()
         is_paused = now < self._paused_partitions.get(partition, 0.0)
         return not (is_paused or self._host.store_health.is_lost())
 
-    def _note_failure(self, partition, asked_at):
-        """Keep callers behind this one from being sent the same way.
+    def _note_direct_failure(self, partition, asked_at):
+        """Pause direct calls to a partition, so that later callers skip them.
 
-        A store that refuses at once may have lost one partition only; one that is
-        silent costs each caller the whole wait.
+        A store that refuses at once may have lost one partition only. One that does
+        not answer is marked as lost, since each caller would wait for the whole time
+        limit.
         """
         now = self._host.clock.monotonic()
-        if now - asked_at > _SILENT_SECONDS:
+        if now - asked_at > _TIMED_OUT_SECONDS:
             self._host.store_health.note_failure()
         self._paused_partitions[partition] = now + _PAUSE_SECONDS
 
-    def _candidates(self):
+    def _relay_peers(self):
         if self._host.clock.monotonic() < self._paused_until:
             return []
         now = self._host.clock.monotonic()
         peers = [
             peer
             for peer in self._host.peers.all()
-            if now - peer.failed_at > _AVOID_SECONDS
+            if now - peer.relay_failed_at > _PEER_PAUSE_SECONDS
         ]
         random.shuffle(peers)
-        peers.sort(key=lambda peer: peer is not self._preferred)
-        return peers[:_PEERS_TRIED]
+        peers.sort(key=lambda peer: peer is not self._last_working)
+        return peers[:_MAX_PEERS_TRIED]
 
-    def _relayed(self, peer, call):
+    def _call_via(self, peer, call):
         try:
-            result = peer.client.ask(call, _CALL_SECONDS)
+            result = peer.client.ask(call, _RELAY_TIMEOUT_SECONDS)
         except WireError as error:
-            self._preferred = None
-            peer.failed_at = self._host.clock.monotonic()
+            self._last_working = None
+            peer.relay_failed_at = self._host.clock.monotonic()
             if isinstance(error, PeerUnreachable):
-                # Nothing was sent. Taken for a lost answer, it would hold the
-                # caller back for the seconds in which such an answer is settled.
+                # Nothing was sent. If this counted as a lost answer, the caller would
+                # wait for the seconds that settling one takes.
                 raise StoreRefused() from error
             raise TableUnavailable() from error
         if result.outcome == _DONE:
-            self._preferred = peer
-            found = json.loads(result.body)
-            return [_row(one) for one in found] if call.range else found
+            self._last_working = peer
+            decoded = json.loads(result.body)
+            return [_decode_row(one) for one in decoded] if call.range else decoded
         if result.outcome == _CONFLICT:
-            raise ConditionFailed([_row(one) for one in json.loads(result.body)])
-        self._preferred = None
+            raise ConditionFailed([_decode_row(one) for one in json.loads(result.body)])
+        self._last_working = None
         raise StoreRefused() if result.outcome == _REFUSED else TableUnavailable()
 
 
@@ -188,35 +192,35 @@
 
     def _answer(self, call):
         try:
-            return StoreResult(outcome=_DONE, body=self._run(call))
+            return StoreResult(outcome=_DONE, body=self._apply(call))
         except ConditionFailed as error:
-            return StoreResult(outcome=_CONFLICT, body=_rows(error.rows))
+            return StoreResult(outcome=_CONFLICT, body=_encode_rows(error.rows))
         except StoreRefused:
             return StoreResult(outcome=_REFUSED)
         except TableUnavailable as error:
-            RELAY_UNANSWERED.write(partition=_partition(call), error=str(error))
+            RELAY_UNANSWERED.write(partition=_partition_of(call), error=str(error))
             return StoreResult(outcome=_UNKNOWN)
 
-    def _run(self, call):
+    def _apply(self, call):
         store = self._host.store
         if call.range:
-            return _rows(store.read(*json.loads(call.range)).rows)
+            return _encode_rows(store.read(*json.loads(call.range)).rows)
         expectations = [Expectation(*one) for one in json.loads(call.expectations)]
         writes = [RowWrite(*one) for one in json.loads(call.writes)]
         return json.dumps(store.transact(expectations, writes)).encode()
 
 
-def _partition(call):
+def _partition_of(call):
     if call.range:
         return json.loads(call.range)[1]
     return json.loads(call.writes)[0][1]
 
 
-def _rows(rows):
+def _encode_rows(rows):
     return json.dumps(
         [[row.table, row.partition, row.key, row.value, row.version] for row in rows]
     ).encode()
 
 
-def _row(found):
-    return StoredRow(*found)
+def _decode_row(fields):
+    return StoredRow(*fields)
--- a/tests/entry/test_relays.py
+++ b/tests/entry/test_relays.py
@@ -1,4 +1,4 @@
-"""Reaching the store through another host."""
+"""Calling the store through another host."""
 
 import threading
 
@@ -16,7 +16,7 @@
 
 
 class Store:
-    """Apply transactions, or fail by a script."""
+    """Apply transactions, or fail as scripted."""
 
     def __init__(self):
         self.failures = []
@@ -44,7 +44,7 @@
 
 
 class Health:
-    """Say whether the store is lost, as told."""
+    """Report the store as lost or not, as set by the test."""
 
     def __init__(self):
         self.is_down = False
@@ -60,7 +60,7 @@
 
 
 class Host:
-    """Stand for an entry host with its store and its peers."""
+    """Stand in for an entry host with its store and its peers."""
 
     def __init__(self, peers=()):
         self.clock = ManualClock(100.0)
@@ -80,13 +80,13 @@
         self.host = host
         self.client = self
         self.asked = 0
-        self.failed_at = float("-inf")
-        self.is_gone = False
+        self.relay_failed_at = float("-inf")
+        self.is_unreachable = False
         self.is_silent = False
 
     def ask(self, call, seconds):
         self.asked += 1
-        if self.is_gone:
+        if self.is_unreachable:
             raise PeerUnreachable(address="a:1")
         if self.is_silent:
             raise PeerTimeout(address="a:1", seconds=seconds)
@@ -104,21 +104,17 @@
 
 
 def test_write_goes_through_another_host(host, other):
-    """A caller's job is refused though the store serves other hosts.
-
-    The store turned away this host only; its callers were refused for as long as
-    that lasted.
-    """
+    """Guards against refusing callers' jobs while the store refuses only this host."""
     host.store.failures = [StoreRefused()]
     assert RelayedStore(host).transact([EXPECTATION], [WRITE]) == 7
     assert other.store.written == ["j1"]
 
 
 def test_write_without_an_answer_is_settled_by_another_host(host, other):
-    """A caller hears "unknown" for a job that is stored.
+    """Guards against an unknown outcome for a job that is stored.
 
-    The first try had no answer and may have been applied. The second, through
-    another host, finds the row there: the caller may be told that it is accepted.
+    The first attempt had no answer and may have been applied. The second, through
+    another host, finds the row, so that the job can be reported as accepted.
     """
     row = StoredRow("jobs", "pool", "j1", {"n": 1}, 5)
     host.store.failures = [TableUnavailable()]
@@ -128,7 +124,7 @@
     assert [(one.key, one.version) for one in caught.value.rows] == [("j1", 5)]
 
 
-def test_store_that_is_lost_is_not_tried_first(host, other):
+def test_lost_store_is_not_called_directly(host, other):
     host.store_health.is_down = True
     RelayedStore(host).transact([EXPECTATION], [WRITE])
     assert host.store.written == []
@@ -140,7 +136,7 @@
     assert (row.key, row.value, row.version) == ("j1", {"n": 1}, 7)
 
 
-def test_refused_everywhere_took_no_effect(host, other):
+def test_write_refused_by_all_hosts_is_refused(host, other):
     host.store.failures = [StoreRefused()]
     other.store.failures = [StoreRefused()]
     with pytest.raises(StoreRefused):
@@ -149,7 +145,7 @@
 
 @pytest.mark.parametrize("first", [StoreRefused, TableUnavailable])
 def test_relay_without_an_answer_is_unknown(host, first):
-    """A caller is told "not run" for a job that runs.
+    """Guards against reporting a job as not accepted that then runs.
 
     The other host may have written the row before its answer was lost.
     """
@@ -178,21 +174,21 @@
     assert host.all()[0].asked == 1
 
 
-def test_host_that_is_gone_makes_no_doubt(host):
-    """A caller waits two seconds for "not accepted" while the store is down.
+def test_unreachable_host_counts_as_a_refusal(host):
+    """Guards against a caller that waits two seconds to be refused.
 
-    The row of a removed host was still there. Connecting to it failed, and that
-    was taken for an answer that was lost.
+    While the store is down, the row of a removed host can still exist. A failed
+    connection to it must not be treated as a lost answer.
     """
     host.store_health.is_down = True
-    host.all()[0].is_gone = True
+    host.all()[0].is_unreachable = True
     with pytest.raises(StoreRefused):
         RelayedStore(host).transact([EXPECTATION], [WRITE])
 
 
-def test_host_that_is_gone_is_left_alone_for_a_while(host):
+def test_unreachable_host_is_not_asked_again_for_a_while(host):
     host.store_health.is_down = True
-    host.all()[0].is_gone = True
+    host.all()[0].is_unreachable = True
     store = RelayedStore(host)
     for _ in range(3):
         with pytest.raises(StoreRefused):
@@ -201,11 +197,8 @@
     assert host.all()[0].asked == 1
 
 
-def test_partition_that_is_away_does_not_close_the_others(host, other):
-    """Callers are refused though their part of the store answers.
-
-    One partition refuses; that is no sign for the others.
-    """
+def test_unavailable_partition_does_not_affect_the_others(host, other):
+    """Guards against refusing callers whose partition of the store answers."""
     host.store.failures = [StoreRefused()]
     other.store_health.is_down = True
     store = RelayedStore(host)
