--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -76,7 +76,7 @@
         self.stopping = threading.Event()
         self.is_draining = False
         # Whether the rows of the other hosts were read.
-        self.knows_cell = False
+        self.has_read_hosts = False
         self.executor = ThreadPoolExecutor(_TASKS, thread_name_prefix="entry")
         self._store_latency = StoreLatency()
         self.store = Store(
@@ -282,7 +282,7 @@
             found = pool_row(row)
             if found is not None and found.pool in self._candidacies:
                 self._candidacies[found.pool].note_row(found)
-        self.knows_cell = True
+        self.has_read_hosts = True
         self._beats.start_missing_senders()
 
     def _note_cell_answer(self, asked_at):
--- a/papayapick/entry/relays.py
+++ b/papayapick/entry/relays.py
@@ -75,7 +75,7 @@
         )
 
     def note_return(self):
-        """End all pauses, since the store is available again."""
+        """Resume direct and relayed calls, since the store is available again."""
         self._paused_partitions = {}
         self._paused_until = 0.0
 
--- a/tests/entry/test_candidacy.py
+++ b/tests/entry/test_candidacy.py
@@ -1,4 +1,4 @@
-"""Noticing that a pool has no working owner."""
+"""Detecting that a pool has no working owner and taking it over."""
 
 import socket
 import threading
@@ -34,11 +34,11 @@
         self.store = object()
         self.store_seconds = 0.01
         self.is_draining = False
-        self.knows_cell = True
+        self.has_read_hosts = True
         self.asked = 0
         self.peers = SimpleNamespace(all=lambda: self.others)
         self.others = []
-        # Addresses at which nobody owns the pool, though a process may listen.
+        # Addresses at which no process owns the pool, though one may listen.
         self.not_owning = set()
 
     @property
@@ -72,15 +72,15 @@
         rows[0] = row
         return row
 
-    def take_and_claim(store, seen, owner, address):
+    def record_claim_and_take(store, seen, owner, address):
         claims.append(found.owned_epoch)
         return take(store, seen, owner, address)
 
     claims = []
     monkeypatch.setattr(module, "read_pool", lambda store, pool: rows[0])
-    monkeypatch.setattr(module, "take_pool", take_and_claim)
+    monkeypatch.setattr(module, "take_pool", record_claim_and_take)
     monkeypatch.setattr(module, "check_readable", lambda host, pool: None)
-    monkeypatch.setattr(Candidacy, "_own", lambda self, row: self.note_row(row))
+    monkeypatch.setattr(Candidacy, "_start_owner", lambda self, row: self.note_row(row))
     found = Candidacy(Host(), "pool")
     found._host.claims = claims
     return found
@@ -97,11 +97,11 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def _look(candidacy, times=1):
-    """Look at the pool as the endless task does."""
+def _check_owner(candidacy, times=1):
+    """Check the pool's owner as the candidacy's task does."""
     for _ in range(times):
-        if candidacy._is_needed():
-            candidacy._try(candidacy.row)
+        if candidacy._needs_owner():
+            candidacy._try_takeover(candidacy.row)
 
 
 def _beat(epoch=3, host="h2", **fields):
@@ -109,109 +109,117 @@
 
 
 def test_pool_without_an_owner_is_taken(candidacy, taken):
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == [1]
 
 
-def test_restarted_host_leaves_a_living_owner_alone(candidacy, rows, taken, listener):
-    """Callers wait for a takeover that nobody needed, at each restart of a host.
+def test_restarted_host_does_not_replace_a_working_owner(
+    candidacy, rows, taken, listener
+):
+    """Guards against a needless takeover at each restart of a host.
 
-    The restarted process had heard no beat yet, so it suspected the owner; its
-    second look took the pool though the first had found the owner listening.
+    The restarted process had received no beat yet, so it suspected the owner; its
+    second check took the pool though the first had found the owner listening.
     """
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
-    _look(candidacy, times=5)
+    _check_owner(candidacy, times=5)
     assert taken == []
 
 
-def test_row_that_is_followed_first_is_no_evidence(candidacy, rows, taken, listener):
-    """The same, when the follower of the table had read the row before the look."""
+def test_row_read_before_the_first_check_causes_no_takeover(
+    candidacy, rows, taken, listener
+):
+    """Guards against the same failure if the row was read before the first check."""
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
     candidacy.note_row(rows[0])
-    _look(candidacy, times=5)
+    _check_owner(candidacy, times=5)
     assert taken == []
 
 
 @pytest.mark.parametrize("read", ["read_pool", "check_readable"])
-def test_beat_that_comes_during_the_look_ends_it(
+def test_beat_that_arrives_during_the_check_ends_it(
     monkeypatch, candidacy, rows, taken, read
 ):
-    """A host that had just started took the pool from an owner that it had just heard.
+    """Guards against a takeover from an owner that has just sent its first beat.
 
-    Its suspicion was of the row that it read first. The owner's first beat came while
-    it read the row again, and made that row one whose owner is expected to beat: it was
-    not asked any more whether it is at work. `owner suspected` 0.1 s after the start
-    with `is_reported`, no `host unreached`, and `pool left` at the owner 0.04 s later.
+    A host that has just started suspects the owner in the first row that it reads. If
+    the owner's beat arrives while the row is read again, the row becomes one whose
+    owner is expected to send beats, so the owner was not queried. In the log this shows
+    as `owner suspected` with `is_reported` 0.1 s after the start, without `host
+    unreached`, and `pool left` at the owner 0.04 s later.
     """
     rows[0] = PoolRow("pool", "h2", 3, "127.0.0.1:9", 7)
     candidacy.note_row(rows[0])
     candidacy._host.not_owning.add("127.0.0.1:9")
 
-    def read_and_hear(*args):
+    def read_and_receive_beat(*args):
         candidacy.note_beat(_beat())
         return rows[0]
 
-    monkeypatch.setattr(module, read, read_and_hear)
-    _look(candidacy)
+    monkeypatch.setattr(module, read, read_and_receive_beat)
+    _check_owner(candidacy)
     assert taken == []
 
 
-def test_host_that_does_not_know_the_others_takes_no_pool(candidacy, rows, taken):
-    """A host that has just started takes the pool from a working owner.
+def test_host_that_has_not_read_the_other_hosts_takes_no_pool(candidacy, rows, taken):
+    """Guards against a takeover from a working owner by a host that has just started.
 
-    It has read the pool's row, and not yet the rows of the other hosts: it can't ask
-    the owner, and takes that for an owner that is gone.
+    It has read the pool's row, but not yet the rows of the other hosts. It cannot query
+    the owner, which must not count as an owner that is gone.
     """
     host = candidacy._host
-    host.knows_cell = False
+    host.has_read_hosts = False
     rows[0] = PoolRow("pool", "h2", 3, "127.0.0.1:9", 7)
     host.not_owning.add("127.0.0.1:9")
-    _look(candidacy, times=5)
+    _check_owner(candidacy, times=5)
     assert taken == []
-    host.knows_cell = True
-    _look(candidacy)
+    host.has_read_hosts = True
+    _check_owner(candidacy)
     assert taken == [4]
 
 
 def test_restarted_host_takes_the_pool_of_a_dead_owner_at_once(candidacy, rows, taken):
-    """After a power loss of all hosts, callers wait for beats that never come."""
+    """Guards against waiting for beats of an owner that lost power with all hosts."""
     rows[0] = PoolRow("pool", "h2", 3, "127.0.0.1:9", 7)
     candidacy._host.not_owning.add("127.0.0.1:9")
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == [4]
 
 
-def test_own_row_of_an_earlier_life_is_no_owner(candidacy, rows, taken, listener):
+def test_own_row_of_an_earlier_process_is_no_owner(candidacy, rows, taken, listener):
     rows[0] = PoolRow("pool", "h1", 3, listener, 7)
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == [4]
 
 
 def test_silent_owner_is_replaced(candidacy, rows, taken, listener):
-    """Jobs wait for an owner that is frozen: it listens, and beats no more."""
+    """Guards against jobs that wait for a frozen owner.
+
+    Its connections are still accepted, but it sends no more beats.
+    """
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
-    _look(candidacy)
+    _check_owner(candidacy)
     candidacy.note_beat(_beat())
     candidacy._host.clock.advance(0.6)
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == []
     candidacy._host.clock.advance(0.1)
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == [4]
 
 
-def test_beats_of_an_older_epoch_are_no_sign(candidacy, rows, taken, listener):
+def test_beats_of_an_older_epoch_are_ignored(candidacy, rows, taken, listener):
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
-    _look(candidacy)
+    _check_owner(candidacy)
     assert not candidacy.note_beat(_beat(epoch=2, host="h3"))
 
 
 def test_owner_that_gives_way_is_replaced(candidacy, rows, taken, listener):
-    """New jobs wait for an owner that the store turns away, and it alone."""
+    """Guards against jobs that wait for an owner that alone is refused by the store."""
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
-    _look(candidacy)
+    _check_owner(candidacy)
     candidacy.note_beat(_beat(gives_way=True))
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == [4]
 
 
@@ -219,24 +227,24 @@
 def test_ended_connection_is_checked(candidacy, rows, taken, listener, is_listening):
     address = listener if is_listening else _dead_address()
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
-    _look(candidacy)
+    _check_owner(candidacy)
     rows[0] = PoolRow("pool", "h2", 3, address, 8)
     candidacy.note_row(rows[0])
     candidacy.note_disconnect(Hello(host="h2"))
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == ([] if is_listening else [4])
 
 
-def test_end_of_another_host_is_no_matter(candidacy, rows, taken):
+def test_disconnect_of_another_host_is_ignored(candidacy, rows, taken):
     rows[0] = PoolRow("pool", "h2", 3, _dead_address(), 7)
     candidacy.note_row(rows[0])
     candidacy._expect_beats()
     candidacy.note_disconnect(Hello(host="h3"))
-    _look(candidacy)
+    _check_owner(candidacy)
     assert taken == []
 
 
-def test_records_are_trusted_only_after_a_recent_word(candidacy):
+def test_records_are_trusted_only_after_a_recent_beat(candidacy):
     assert not candidacy._trusts_records()
     candidacy.note_beat(_beat())
     assert candidacy._trusts_records()
@@ -247,70 +255,71 @@
 
 
 def test_pool_that_cannot_be_read_is_not_taken(monkeypatch, candidacy, taken):
-    """Hosts take the pool from each other, and none of them decides.
+    """Guards against hosts that take a pool in turn without placing any job.
 
-    Some partitions of the store were away: each host could take the pool and could
-    not read it, gave it up, and the next one took it.
+    While some partitions of the store are unavailable, each host can take the pool, but
+    cannot read it and gives it up, and the next one takes it.
     """
 
     def fail(host, pool):
         raise TableUnavailable()
 
     monkeypatch.setattr(module, "check_readable", fail)
-    _look(candidacy, times=3)
+    _check_owner(candidacy, times=3)
     assert taken == []
 
 
-def test_claim_is_told_before_its_answer_has_come(candidacy, taken):
-    """Hosts take the pool from each other as the store comes back.
+def test_claim_is_reported_before_it_is_answered(candidacy, taken):
+    """Guards against hosts that take a pool from each other after a store outage.
 
-    One had read the row of the other before that one knew that it was the owner,
-    asked it, and heard "no".
+    One host reads the row of the other before that one knows that it is the owner. If
+    that one denied it when queried, the pool would be taken from it.
     """
-    _look(candidacy)
+    _check_owner(candidacy)
     assert candidacy._host.claims == taken == [1]
 
 
-def test_pool_taken_by_another_while_looking_is_left_alone(candidacy, rows, taken):
-    """Hosts take the pool from each other as the store comes back.
+def test_pool_taken_by_another_during_the_check_is_not_taken(candidacy, rows, taken):
+    """Guards against hosts that take a pool from each other after a store outage.
 
-    A host suspected the owner; while its reading was under way another one took
-    the pool, and that row came here by the feed before the reading was answered.
+    While a host that suspects the owner reads the row, another host takes the pool, and
+    the new row arrives through the followed table before the read is answered.
     """
     suspected = PoolRow("pool", "h2", 3, "127.0.0.1:9", 7)
     candidacy.note_row(suspected)
     rows[0] = PoolRow("pool", "h3", 4, "127.0.0.1:8", 8)
     candidacy.note_row(rows[0])
-    candidacy._try(suspected)
+    candidacy._try_takeover(suspected)
     assert taken == []
 
 
 def test_host_near_the_store_takes_a_pool_without_waiting(candidacy):
-    # All hosts start again at once. A call of the store takes a little longer then,
-    # and each host near it waited for another that would be nearer: 0.2 s in which
-    # nothing was placed.
+    # Guards against 0.2 s without placements when all hosts restart at once. A call of
+    # the store takes a little longer then, and each host near it waited for a nearer
+    # one.
     candidacy._host.store_seconds = 0.019
     assert candidacy._delay() < 0.07
     candidacy._host.store_seconds = 0.045
     assert candidacy._delay() >= 0.25
 
 
-def test_beat_of_a_newer_owner_ends_the_suspicion_of_the_one_before(candidacy, rows):
-    # An owner that the store turns away asks for a successor, and gets one. A host that
-    # is turned away too can't read the new row; it went on suspecting the old owner and
-    # asked the store again and again, 60 times in eight seconds.
+def test_beat_of_a_newer_owner_ends_the_suspicion_of_the_old_one(candidacy, rows):
+    # An owner that the store refuses asks for a successor and is replaced. A host that
+    # is refused too cannot read the new row. It must not go on suspecting the old owner
+    # and calling the store, 60 times in eight seconds.
     rows[0] = PoolRow("pool", "h2", 3, "127.0.0.1:1", 5)
     candidacy.note_row(rows[0])
     candidacy.note_beat(_beat(epoch=3, gives_way=True))
-    assert candidacy._is_needed()
+    assert candidacy._needs_owner()
     candidacy.note_beat(_beat(epoch=4, host="h3"))
-    assert not candidacy._is_needed()
+    assert not candidacy._needs_owner()
 
 
 def test_larger_host_is_first_to_take_a_pool(candidacy):
-    """Hosts have from half a core to two, and the smallest took the pool.
+    """Guards against an owner that cannot place jobs as fast as they arrive.
 
-    It could not decide as fast as jobs came, while larger hosts idled.
+    Hosts have from half a core to two cores. The smallest must not take the pool while
+    larger hosts are idle.
     """
     host = candidacy._host
     host.others = [SimpleNamespace(processors=2.0), SimpleNamespace(processors=0.5)]
@@ -320,6 +329,6 @@
     assert max(large) < min(small)
 
 
-def test_hosts_of_one_size_wait_for_each_other_no_longer_than_before(candidacy):
+def test_hosts_of_equal_size_are_delayed_by_the_jitter_only(candidacy):
     candidacy._host.others = [SimpleNamespace(processors=1.0)] * 8
-    assert max(candidacy._delay() for _ in range(50)) <= module._SPREAD_SECONDS
+    assert max(candidacy._delay() for _ in range(50)) <= module._JITTER_SECONDS
--- a/tests/entry/test_takeover_delay.py
+++ b/tests/entry/test_takeover_delay.py
@@ -1,4 +1,4 @@
-"""How long a host waits before it takes a pool, after all that can befall its start."""
+"""The delay of a candidate after outages of the store or slow answers at its start."""
 
 import json
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 
 class _ScriptedPool:
-    """Answer calls of the store as a list of (status, seconds) says, then at once."""
+    """Answer calls of the store by a list of (status, seconds)."""
 
     def __init__(self, clock, answers):
         self._clock = clock
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def delay_after(monkeypatch):
-    """Start a host whose store answers so; return how long it waits as a candidate."""
+    """Return a function from the store's answers at the start to a host's delay."""
 
     def start(answers):
         clock = _Clock(100.0)
@@ -52,21 +52,19 @@
     return start
 
 
-def test_pool_is_not_left_alone_for_the_outage_that_its_hosts_started_in(delay_after):
-    """Jobs waited without an owner ten times as long as the store had been away."""
+def test_outage_during_the_start_does_not_add_to_the_delay(delay_after):
+    """Guards against a pool without an owner for ten times the rest of an outage."""
     answers = [*[(REFUSED, 0.008)] * 6, (200, NEAR_SECONDS)]
     assert delay_after(answers) < 0.1
 
 
 @pytest.mark.parametrize("silent_seconds", [0.3, 1.2])
-def test_pool_is_not_left_alone_as_long_as_a_slow_store_suggests(
-    delay_after, silent_seconds
-):
-    """Jobs waited without an owner ten times as long as one slow answer took."""
+def test_delay_after_a_slow_first_answer_is_bounded(delay_after, silent_seconds):
+    """Guards against a pool without an owner for ten times one slow answer."""
     assert delay_after([(200, silent_seconds)]) < 0.5
 
 
-def test_host_far_from_the_store_still_waits_for_those_near_it(delay_after):
-    """An owner in the other region answers each worker and the store late."""
+def test_host_far_from_the_store_still_waits_for_nearer_ones(delay_after):
+    """Guards against an owner in the other region, far from workers and the store."""
     answers = [(REFUSED, FAR_SECONDS), (200, FAR_SECONDS)]
     assert delay_after(answers) >= 0.2
