--- a/papayapick/entry/probing.py
+++ b/papayapick/entry/probing.py
@@ -1,4 +1,4 @@
-"""Notice soon that the store is back."""
+"""Detect quickly that a lost store is available again."""
 
 from papayapick.clients.exceptions import TableUnavailable
 from papayapick.entry.events import STORE_FOUND
@@ -7,21 +7,21 @@
 
 __all__ = ["StoreProbe"]
 
-# Whether the store is lost is looked at so often.
-_LOOK_SECONDS = 0.05
-# A lost store is asked so often. Nine hosts make 54 calls a second during an outage;
-# a caller who is refused comes back within three seconds at most.
-_ASK_SECONDS = 0.15
-# A store that is up answers a short read in 10 ms, 60 times slower in 0.6 s.
-_ANSWER_SECONDS = 0.7
+# Interval of the checks whether the store is lost.
+_CHECK_INTERVAL_SECONDS = 0.05
+# Interval of the calls to a lost store. Nine hosts make 54 calls a second during an
+# outage; a refused caller retries for three seconds at most.
+_PROBE_INTERVAL_SECONDS = 0.15
+# An available store answers a short read in 10 ms, or in 0.6 s if 60 times slower.
+_PROBE_TIMEOUT_SECONDS = 0.7
 
 
 class StoreProbe:
-    """Ask a lost store again and again until it answers.
+    """Call a lost store repeatedly until it answers.
 
-    The tasks that follow tables notice its return only when their waiting call has
-    run into its time limit: up to 0.8 s late, in which callers were refused though
-    their jobs could have been stored.
+    The tasks that follow tables detect its return only after their pending call has
+    timed out. That is up to 0.8 s late, and callers whose jobs could have been stored
+    would be refused meanwhile.
 
     Parameters
     ----------
@@ -43,26 +43,26 @@
         self._on_return = on_return
 
     def run(self):
-        """Look until the process stops."""
+        """Probe the store whenever it is lost, until the process stops."""
         while not self._stopping.is_set():
-            self._clock.wait(self._stopping, _LOOK_SECONDS)
+            self._clock.wait(self._stopping, _CHECK_INTERVAL_SECONDS)
             if self._health.is_lost():
-                self.ask()
-                self._clock.wait(self._stopping, _ASK_SECONDS)
+                self.probe_once()
+                self._clock.wait(self._stopping, _PROBE_INTERVAL_SECONDS)
 
-    def ask(self):
-        """Ask once; return whether the store has answered."""
+    def probe_once(self):
+        """Call the store once; return whether it has answered."""
         try:
             self._store.read(
-                CELL_TABLE, HOSTS_PARTITION, limit=1, seconds=_ANSWER_SECONDS
+                CELL_TABLE, HOSTS_PARTITION, limit=1, seconds=_PROBE_TIMEOUT_SECONDS
             )
         except TableUnavailable:
-            # Lost is what it is known to be; its loss has been logged.
+            # Not logged: the loss of the store has been logged already.
             return False
         lost_at = self._health.lost_at()
         self._health.note_answer()
         if lost_at is not None:
-            away = self._clock.monotonic() - lost_at
-            STORE_FOUND.write(away_seconds=round(away, 3))
+            away_seconds = self._clock.monotonic() - lost_at
+            STORE_FOUND.write(away_seconds=round(away_seconds, 3))
             self._on_return()
         return True
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -36,7 +36,7 @@
 from papayapick.entry.probing import StoreProbe
 from papayapick.entry.queues import KnownQueues
 from papayapick.entry.relays import RelayedStore, StoreRelay
-from papayapick.entry.servers import FrontServer
+from papayapick.entry.servers import FrontendServer
 from papayapick.entry.store_health import StoreHealth
 from papayapick.entry.store_latency import StoreLatency
 from papayapick.entry.writers import GroupWriter
@@ -109,7 +109,7 @@
         self._was_ready = False
         self._beats = BeatBroadcaster(self, self._candidacies)
         self._queues = KnownQueues()
-        self._front = FrontServer(settings, Application(self))
+        self._frontend_server = FrontendServer(settings, Application(self))
         self._peer_server = None
 
     @property
@@ -121,7 +121,7 @@
 
     def start(self):
         """Answer health checks at once, then join the cell."""
-        self.executor.submit(self._front.run)
+        self.executor.submit(self._frontend_server.run)
         self.executor.submit(self._run_loop, "join", self._join)
 
     def stop(self):
@@ -134,7 +134,7 @@
         rest = self.settings.grace_seconds - _GRACE_SLACK_SECONDS
         self.clock.wait(self.stopping, rest)
         self.stopping.set()
-        self._front.close()
+        self._frontend_server.close()
 
     def _hand_over(self, owner):
         """Go on as owner until another host has taken the pool."""
--- a/papayapick/entry/servers.py
+++ b/papayapick/entry/servers.py
@@ -6,17 +6,17 @@
 from papayapick.entry.events import METRICS_UNSERVED
 from papayapick.listening import create_listener
 
-__all__ = ["FrontServer"]
+__all__ = ["FrontendServer"]
 
 _THREADS = 24
 _CONNECTIONS = 1500
-# Larger bodies than any configuration allows are refused by the library itself.
+# The library itself refuses bodies larger than any configuration allows.
 _BODY_LIMIT_BYTES = 4 << 20
-_CHANNEL_SECONDS = 60
+_IDLE_TIMEOUT_SECONDS = 60
 
 
-class FrontServer:
-    """Serve one application on the front and the readiness address.
+class FrontendServer:
+    """Serve one application on the frontend, readiness and metrics addresses.
 
     Parameters
     ----------
@@ -29,16 +29,16 @@
     def __init__(self, settings, application):
         logging.getLogger("waitress.queue").setLevel(logging.ERROR)
         addresses = [settings.frontend_address, settings.readiness_address]
-        metrics = (settings.peer_address[0], settings.metrics_port)
-        if settings.metrics_port and _is_free(metrics):
-            addresses.append(metrics)
+        metrics_address = (settings.peer_address[0], settings.metrics_port)
+        if settings.metrics_port and _can_listen(metrics_address):
+            addresses.append(metrics_address)
         self._server = create_listener(
             application,
             listen=" ".join(f"{host}:{port}" for host, port in addresses),
             threads=_THREADS,
             connection_limit=_CONNECTIONS,
             max_request_body_size=_BODY_LIMIT_BYTES,
-            channel_timeout=_CHANNEL_SECONDS,
+            channel_timeout=_IDLE_TIMEOUT_SECONDS,
             clear_untrusted_proxy_headers=False,
             ident=None,
         )
@@ -52,11 +52,11 @@
         self._server.close()
 
 
-def _is_free(address):
-    """Return whether metrics can be served at an address.
+def _can_listen(address):
+    """Return whether the metrics address is free.
 
-    A host goes on without metrics where something else listens there: one that failed
-    to start for them would serve nobody.
+    If another process listens there, the host goes on without metrics: it must not fail
+    to serve callers because of them.
     """
     try:
         socket.create_server(address).close()
--- a/tests/entry/hosts.py
+++ b/tests/entry/hosts.py
@@ -39,5 +39,5 @@
     EntryHost
     """
     monkeypatch.setattr(process, "HttpPool", lambda seconds: pool)
-    monkeypatch.setattr(process, "FrontServer", lambda settings, application: None)
+    monkeypatch.setattr(process, "FrontendServer", lambda settings, application: None)
     return EntryHost(PlatformSettings(SETTINGS), clock)
--- a/tests/entry/test_probing.py
+++ b/tests/entry/test_probing.py
@@ -1,4 +1,4 @@
-"""The return of the store is noticed at once."""
+"""Prompt detection of the store's return."""
 
 import threading
 
@@ -17,7 +17,7 @@
 
 
 class Store:
-    """Refuse while it is down."""
+    """Refuse all calls while ``is_down`` is set."""
 
     def __init__(self):
         self.is_down = False
@@ -36,7 +36,7 @@
 
 
 class StoppingClock:
-    """Stop the process after some waits."""
+    """Set the stop event after a number of waits."""
 
     def __init__(self, stopping, looks):
         self._stopping = stopping
@@ -85,28 +85,28 @@
 
 
 def test_callers_are_served_as_soon_as_the_store_answers(host, relayed, probe):
-    # A caller's job is refused while the store is down; it comes back for three
-    # seconds. The store returns, but the calls that follow its tables wait into
-    # their time limits for up to 0.8 s more, and all that time callers were told to
-    # come back: their last tries were spent on a store that was up.
+    # Guards against refusing callers after the store has returned. A refused caller
+    # retries for three seconds. The calls that follow tables run into their time limits
+    # for up to 0.8 s after the return, and the callers' last attempts were refused
+    # meanwhile although the store was available.
     lose(host)
     with pytest.raises(TableUnavailable):
         relayed.transact([EXPECTATION], [WRITE])
     host.store.is_down = False
     assert host.store_health.is_lost()
-    assert probe.ask()
+    assert probe.probe_once()
     assert not host.store_health.is_lost()
     assert relayed.transact([EXPECTATION], [WRITE]) == 1
 
 
-def test_store_that_stays_away_stays_lost(host, probe):
+def test_store_that_does_not_answer_stays_lost(host, probe):
     lose(host)
-    assert not probe.ask()
+    assert not probe.probe_once()
     assert host.store_health.is_lost()
 
 
-def test_store_that_answers_is_not_asked(host):
-    # The probe must cost nothing while all is well: each call is paid for.
+def test_store_that_answers_is_not_probed(host):
+    # The probe must make no calls while the store answers, since each call costs money.
     host.store_health.note_answer()
     clock = StoppingClock(host.stopping, looks=4)
     probe = StoreProbe(host.store, host.store_health, clock, host.stopping, int)
