--- a/papayapick/entry/acceptance.py
+++ b/papayapick/entry/acceptance.py
@@ -1,4 +1,4 @@
-"""Accept jobs, cancel them and tell their states."""
+"""Accept jobs, cancel them and report their states."""
 
 from concurrent.futures import TimeoutError as FutureTimeout
 
@@ -17,7 +17,7 @@
 
 __all__ = ["Acceptance"]
 
-_ANSWER_SECONDS = 2.6
+_ANSWER_TIMEOUT_SECONDS = 2.6
 
 
 class Acceptance:
@@ -38,12 +38,12 @@
         self._job_states = job_states
 
     def submit(self, document):
-        """Store a job; the same id again is the same job.
+        """Store a job; a repeated id denotes the same job.
 
         Returns
         -------
         bool
-            False where a job of this id was there already.
+            False if a job with this id was accepted before.
 
         Raises
         ------
@@ -59,19 +59,19 @@
             raise QueueFull(queue=document.queue, retry_after=retry_after)
         expectation = Expectation(JOBS_TABLE, partition, identifier, 0)
         write = RowWrite(JOBS_TABLE, partition, identifier, document.as_record())
-        is_new = _wait(self._writer.submit(expectation, write))
+        is_new = _wait_for(self._writer.submit(expectation, write))
         if not is_new:
             JOB_KNOWN.write(request_id=identifier, queue=document.queue, source="store")
         self._job_states.note_accepted(identifier)
         return is_new
 
     def cancel(self, queue, identifier):
-        """Cancel a job, durably.
+        """Store the cancellation of a job.
 
         Returns
         -------
         bool
-            False where it was over or cancelled already.
+            False if the job had ended or was cancelled already.
 
         Raises
         ------
@@ -86,13 +86,13 @@
             raise JobUnknown(identifier=identifier)
         if identifier + CANCEL_SUFFIX in versions:
             return False
-        # On condition that the job is still there: the mark of a job that was
-        # dropped meanwhile would stay for good.
+        # Conditional on the job's row: the cancellation row of a job that was removed
+        # in the meantime would never be removed.
         expectation = Expectation(
             JOBS_TABLE, partition, identifier, versions[identifier]
         )
         write = RowWrite(JOBS_TABLE, partition, identifier + CANCEL_SUFFIX, {})
-        return _wait(self._writer.submit(expectation, write))
+        return _wait_for(self._writer.submit(expectation, write))
 
     def status(self, queue, identifier):
         """Return the status of a job.
@@ -119,10 +119,10 @@
         return status
 
     def _is_stored(self, partition, identifier):
-        """Return whether a job of this id was accepted.
+        """Return whether a job with this id was accepted.
 
-        A caller whose first try had no answer comes again: turned away as not
-        accepted, its job would run all the same.
+        A caller whose first attempt had no answer repeats the request. If it were
+        refused as not accepted, its job would run nevertheless.
         """
         rows = self._read(JOBS_TABLE, partition, identifier, "~")
         return any(row.key == identifier for row in rows)
@@ -134,8 +134,8 @@
             raise StateUnknown() from error
 
 
-def _wait(future):
+def _wait_for(future):
     try:
-        return future.result(_ANSWER_SECONDS)
+        return future.result(_ANSWER_TIMEOUT_SECONDS)
     except FutureTimeout as error:
         raise AcceptanceUnknown() from error
--- a/papayapick/entry/application.py
+++ b/papayapick/entry/application.py
@@ -1,4 +1,4 @@
-"""Answer callers over HTTP: hand in, ask, cancel, count."""
+"""Answer callers over HTTP: submit and cancel jobs, report states and counts."""
 
 import json
 
@@ -30,13 +30,13 @@
 _NOT_FOUND = "404 Not Found"
 _NOT_ALLOWED = "405 Method Not Allowed"
 _FAILED = "500 Internal Server Error"
-_AWAY = "503 Service Unavailable"
-# A host that has just started has its configuration 0.03 to 0.2 s later. A caller who
-# is refused meanwhile comes back after a second: after a restart of all hosts, that
-# was the second in which most were turned away.
-_CONFIGURATION_SECONDS = 0.3
-# Of what a caller sent, so much goes into a line.
-_PATH_CHARACTERS = 128
+_UNAVAILABLE = "503 Service Unavailable"
+# A host has its configuration 0.03 to 0.2 s after its start. A caller refused before
+# that would retry after a whole second; after a restart of all hosts, most refusals
+# fell into this second.
+_CONFIGURATION_WAIT_SECONDS = 0.3
+# Longest part of a path or host name that is written to log events.
+_LOGGED_CHARACTERS = 128
 
 
 class _Reply:
@@ -46,34 +46,34 @@
     ----------
     status : str
     body : bytes
-    kind : str
-        Of the body's content.
+    content_type : str
+        Media type of the body.
     retry_after : int or None
-        Seconds after which the caller may come back.
+        Seconds after which the caller may retry.
     """
 
-    __slots__ = ("_kind", "_retry_after", "body", "status")
+    __slots__ = ("_content_type", "_retry_after", "body", "status")
 
-    def __init__(self, status, body=b"{}", kind=_JSON, retry_after=None):
-        self._kind = kind
+    def __init__(self, status, body=b"{}", content_type=_JSON, retry_after=None):
+        self._content_type = content_type
         self._retry_after = retry_after
         self.body = body
         self.status = status
 
     @property
     def headers(self):
-        """Return the header fields, as WSGI takes them."""
-        found = [
-            ("Content-Type", self._kind),
+        """Return the header fields as a list of pairs, for WSGI."""
+        fields = [
+            ("Content-Type", self._content_type),
             ("Content-Length", str(len(self.body))),
         ]
         if self._retry_after is not None:
-            found.append(("Retry-After", str(self._retry_after)))
-        return found
+            fields.append(("Retry-After", str(self._retry_after)))
+        return fields
 
 
 class Application:
-    """Serve the front address and the readiness address.
+    """Serve the frontend, readiness and metrics addresses.
 
     Parameters
     ----------
@@ -95,15 +95,15 @@
         elif port == self._readiness_port:
             reply = self._health(environ)
         else:
-            reply = self._guarded(environ, self._host.clock.monotonic())
-            REQUESTS.labels(_method(environ), reply.status[:3]).inc()
+            reply = self._answer_or_refuse(environ, self._host.clock.monotonic())
+            REQUESTS.labels(_method_label(environ), reply.status[:3]).inc()
         start_response(reply.status, reply.headers)
         return [reply.body]
 
     def _health(self, environ):
         if environ["PATH_INFO"] != "/readyz":
             return _Reply(_NOT_FOUND)
-        return _Reply(_OK) if self._host.is_ready() else _Reply(_AWAY)
+        return _Reply(_OK) if self._host.is_ready() else _Reply(_UNAVAILABLE)
 
     def _metrics(self, environ):
         if environ["PATH_INFO"] != "/metrics":
@@ -111,7 +111,7 @@
         self._host.refresh_metrics()
         return _Reply(_OK, metrics_text(), _TEXT)
 
-    def _guarded(self, environ, arrived_at):
+    def _answer_or_refuse(self, environ, arrived_at):
         try:
             return self._answer(environ, arrived_at)
         except BodyInvalid as error:
@@ -119,36 +119,36 @@
         except PapayapickError as error:
             status = getattr(error, "status", _FAILED)
             if status == _FAILED:
-                REQUEST_FAILED.write_failure(**_asked(environ))
+                REQUEST_FAILED.write_failure(**_request_fields(environ))
             return self._refuse(environ, arrived_at, status, error)
 
     def _refuse(self, environ, arrived_at, status, error):
         REFUSALS.labels(error.code).inc()
         retry_after = getattr(error, "retry_after", None)
         REQUEST_REFUSED.write(
-            **_asked(environ),
+            **_request_fields(environ),
             status=int(status.split()[0]),
             code=error.code,
             detail=str(error),
-            seconds=self._since(arrived_at),
+            seconds=self._seconds_since(arrived_at),
             store_age_seconds=self._host.store_health.logged_age(),
             configuration_version=self._host.configuration.version,
             retry_after_seconds=retry_after,
         )
-        return _Reply(status, _problem(error), retry_after=retry_after)
+        return _Reply(status, _error_body(error), retry_after=retry_after)
 
-    def _since(self, arrived_at):
+    def _seconds_since(self, arrived_at):
         return round(self._host.clock.monotonic() - arrived_at, 4)
 
     def _answer(self, environ, arrived_at):
         host = self._host
-        configuration = host.configuration.wait_for_first(_CONFIGURATION_SECONDS)
+        configuration = host.configuration.wait_for_first(_CONFIGURATION_WAIT_SECONDS)
         if configuration is None:
             raise NotAccepted(reason="no configuration yet")
-        name, path = environ.get("HTTP_HOST", ""), environ["PATH_INFO"]
-        queue = configuration.find(name, path)
+        host_name, path = environ.get("HTTP_HOST", ""), environ["PATH_INFO"]
+        queue = configuration.find(host_name, path)
         if queue is None:
-            raise NoSuchQueue(host=name, path=path)
+            raise NoSuchQueue(host=host_name, path=path)
         identifier = path[len(queue.path_prefix) :]
         method = environ["REQUEST_METHOD"]
         if not identifier:
@@ -158,7 +158,7 @@
         if not is_identifier(identifier):
             return _Reply(_NOT_FOUND)
         if method == "POST":
-            body = _body(environ, configuration.body_limit_bytes)
+            body = _read_body(environ, configuration.body_limit_bytes)
             document = decode_job(identifier, queue, body, host.clock.time())
             if host.acceptance.submit(document):
                 self._note_accepted(document, queue, arrived_at)
@@ -170,13 +170,13 @@
                 CANCEL_STORED.write(
                     request_id=identifier,
                     queue=queue.name,
-                    seconds=self._since(arrived_at),
+                    seconds=self._seconds_since(arrived_at),
                 )
             return _Reply(_OK)
         return _Reply(_NOT_ALLOWED)
 
     def _note_accepted(self, document, queue, arrived_at):
-        ACCEPTANCE_SECONDS.observe(self._since(arrived_at))
+        ACCEPTANCE_SECONDS.observe(self._seconds_since(arrived_at))
         JOB_ACCEPTED.write(
             request_id=document.identifier,
             queue=queue.name,
@@ -184,34 +184,34 @@
             priority=queue.priority,
             steps=len(document.steps),
             tasks=sum(step.tasks for step in document.steps),
-            seconds=self._since(arrived_at),
+            seconds=self._seconds_since(arrived_at),
             configuration_version=self._host.configuration.version,
         )
 
 
-def _method(environ):
-    """Return the method as a label: callers may send any word."""
+def _method_label(environ):
+    """Return the method as a label of a metric; methods not served are "other"."""
     method = environ["REQUEST_METHOD"]
     return method if method in _METHODS else "other"
 
 
-def _body(environ, limit):
+def _read_body(environ, limit):
     size = int(environ.get("CONTENT_LENGTH") or 0)
     if size > limit:
         raise BodyTooLarge(size=size, limit=limit)
     return environ["wsgi.input"].read()
 
 
-def _problem(error):
+def _error_body(error):
     return json.dumps({"error": error.code, "detail": str(error)}).encode()
 
 
-def _asked(environ):
-    """Return the fields by which a line names a request."""
-    path = environ["PATH_INFO"][:_PATH_CHARACTERS]
+def _request_fields(environ):
+    """Return the fields that identify a request in log events."""
+    path = environ["PATH_INFO"][:_LOGGED_CHARACTERS]
     return {
         "request_id": path.rpartition("/")[2],
         "method": environ["REQUEST_METHOD"],
-        "asked_host": environ.get("HTTP_HOST", "")[:_PATH_CHARACTERS],
+        "asked_host": environ.get("HTTP_HOST", "")[:_LOGGED_CHARACTERS],
         "path": path,
     }
--- a/papayapick/entry/exceptions.py
+++ b/papayapick/entry/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of an entry host towards its callers."""
+"""Errors that an entry host returns to its callers."""
 
 from papayapick.exceptions import PapayapickError, RetryAfter
 
@@ -14,16 +14,16 @@
 ]
 
 
-# When to come back: outages of the store last seconds, and a host that has no
-# configuration yet reads it within one.
+# Outages of the store last seconds, and a host that has no configuration yet reads it
+# within one second.
 _RETRY_AFTER_SECONDS = 1
 
 
 class NoSuchQueue(PapayapickError):
-    """Report a path that no queue serves."""
+    """Report a host name and path that belong to no queue."""
 
     code = "entry.no-queue"
-    template = "no queue serves {host}{path}"
+    template = "no queue is configured for {host}{path}"
     status = "404 Not Found"
 
 
@@ -31,20 +31,20 @@
     """Report an id under which no job was accepted."""
 
     code = "entry.no-job"
-    template = "no job {identifier}"
+    template = "no job with id {identifier} was accepted"
     status = "410 Gone"
 
 
 class BodyTooLarge(PapayapickError):
-    """Report a body over the configured limit."""
+    """Report a request body that exceeds the configured limit."""
 
     code = "entry.body-too-large"
-    template = "the body has {size} bytes, allowed are {limit}"
+    template = "request body too large: {size} bytes, limit {limit}"
     status = "413 Content Too Large"
 
 
 class NotAccepted(PapayapickError):
-    """Report a job that was not accepted and never runs under this request."""
+    """Report that a job was not accepted and does not run unless sent again."""
 
     code = "entry.not-accepted"
     template = "not accepted: {reason}"
@@ -53,24 +53,24 @@
 
 
 class QueueFull(RetryAfter, PapayapickError):
-    """Report a queue whose backlog takes too long; the job was not accepted."""
+    """Report that a job was not accepted because its queue's backlog is too long."""
 
     code = "entry.queue-full"
-    template = "queue {queue} takes no new jobs for {retry_after} s"
+    template = "queue {queue} accepts no new jobs for {retry_after} s"
     status = "429 Too Many Requests"
 
 
 class StateUnknown(PapayapickError):
-    """Report that a state can't be told now; nothing was changed."""
+    """Report that the state of a job cannot be read now; nothing was changed."""
 
     code = "entry.state-unknown"
-    template = "the store can't be read"
+    template = "the store cannot be read"
     status = "503 Service Unavailable"
     retry_after = _RETRY_AFTER_SECONDS
 
 
 class CountUnknown(PapayapickError):
-    """Report that it isn't known here how many jobs of a queue wait."""
+    """Report that this host has no recent count of a queue's waiting jobs."""
 
     code = "entry.count-unknown"
     template = "no fresh count of pool {pool}; seconds old: {age_seconds}"
@@ -79,7 +79,7 @@
 
 
 class AcceptanceUnknown(PapayapickError):
-    """Report a request whose effect is not known; it may be sent again."""
+    """Report that the outcome of a request is unknown; it may be sent again."""
 
     code = "entry.unknown"
     template = "the store did not answer; send the request again"
--- a/tests/entry/test_acceptance.py
+++ b/tests/entry/test_acceptance.py
@@ -1,4 +1,4 @@
-"""What a caller hears of a job while its queue takes no more."""
+"""Accepting jobs while their queue is full."""
 
 from concurrent.futures import Future
 
@@ -20,7 +20,7 @@
 
 
 class FakeStore:
-    """Hold the rows of one job; count what is written."""
+    """Hold the rows of one job and record the keys that are written."""
 
     def __init__(self, keys=(), is_away=False):
         self._rows = [StoredRow("jobs", "pool", key, {}, 1) for key in keys]
@@ -45,34 +45,35 @@
     return Acceptance(store, store, job_states), job_states
 
 
-def test_full_queue_turns_a_new_job_away_and_writes_nothing():
+def test_full_queue_refuses_a_new_job_and_writes_nothing():
     store = FakeStore()
     with pytest.raises(QueueFull) as raised:
         acceptance(store, 9)[0].submit(JOB)
     assert (raised.value.retry_after, store.written) == (9, [])
 
 
-def test_job_that_was_stored_before_is_not_called_refused():
-    """A caller's first try had no answer, and was stored; then its queue is full.
+def test_job_that_is_stored_already_is_not_refused():
+    """Guards against reporting a job as refused that is stored and will run.
 
-    Turned away at the second try, it would have been told that its job never runs.
+    The caller's first attempt was stored but had no answer, and its queue is full at
+    the second one.
     """
     store = FakeStore(keys=[ID])
     assert acceptance(store, 9)[0].submit(JOB) is True
 
 
-def test_full_queue_knows_the_jobs_on_the_board():
+def test_full_queue_recognizes_jobs_with_a_cached_state():
     found, job_states = acceptance(FakeStore(is_away=True), 9)
     job_states.note_statuses({ID: JobStatus.RUNNING})
     assert found.submit(JOB) is False
 
 
-def test_nothing_is_refused_while_nobody_knows_whether_it_was_stored():
+def test_job_is_not_refused_while_the_store_cannot_be_read():
     with pytest.raises(StateUnknown):
         acceptance(FakeStore(is_away=True), 9)[0].submit(JOB)
 
 
-def test_queue_that_takes_jobs_writes_them():
+def test_queue_that_is_not_full_writes_its_jobs():
     store = FakeStore()
     assert acceptance(store, 0)[0].submit(JOB) is True
     assert store.written == [ID]
--- a/tests/entry/test_application.py
+++ b/tests/entry/test_application.py
@@ -1,4 +1,4 @@
-"""What callers are told by a host that has just started."""
+"""Answers to callers of a host that has just started or whose queue is full."""
 
 import io
 import json
@@ -31,7 +31,7 @@
 
 
 class Host:
-    """Stand for an entry host that accepts all jobs."""
+    """Stand in for an entry host that accepts all jobs."""
 
     def __init__(self):
         self.clock = SystemClock()
@@ -77,10 +77,10 @@
     host.configuration._note_rows([row])
 
 
-def test_caller_waits_shortly_for_the_first_configuration(host):
-    # All hosts are killed and start again. They accept connections at once and have
-    # their configuration 0.03 s later; callers in between were told to come back
-    # after a second, in which the system was up again.
+def test_request_waits_briefly_for_the_first_configuration(host):
+    # Guards against refusing callers after a restart of all hosts. They accept
+    # connections at once and have their configuration 0.03 s later; a caller refused in
+    # between would retry only after a second.
     timer = threading.Timer(0.02, configure, (host,))
     timer.start()
     status, _ = post(host)
@@ -88,14 +88,14 @@
     assert host.accepted == [PATH.rpartition("/")[2]]
 
 
-def test_caller_is_told_when_to_come_back_where_none_comes(host):
+def test_refusal_without_a_configuration_has_a_retry_time(host):
     status, headers = post(host)
     assert status == "503 Service Unavailable"
     assert dict(headers)["Retry-After"] == "1"
     assert host.accepted == []
 
 
-def test_caller_is_told_at_once_when_a_full_queue_takes_jobs_again(host):
+def test_refusal_by_a_full_queue_has_its_retry_time(host):
     def submit(document):
         raise QueueFull(queue=document.queue, retry_after=7)
 
--- a/tests/entry/test_removed_queue.py
+++ b/tests/entry/test_removed_queue.py
@@ -1,4 +1,4 @@
-"""What jobs follow whose queue their owner's host has no configuration of."""
+"""Jobs whose queue is missing from the configuration of their owner's host."""
 
 import json
 
@@ -23,19 +23,19 @@
 
 @pytest.fixture
 def stored(queue):
-    """The job as another host accepted it, read from the store again."""
+    """A job as accepted by another host and read back from the store."""
     record = decode_job(ID, queue, BODY, 0.0).as_record()
     return JobDocument.from_record(json.loads(json.dumps(record)))
 
 
 @pytest.fixture
 def host(monkeypatch):
-    """A host that has started after the queue was removed, or before it was added."""
+    """A host that started after the queue was removed, or before it was added."""
     return make_host(monkeypatch, ManualClock(100.0), None)
 
 
 def test_job_of_an_unknown_queue_does_not_fail_with_its_first_failed_run(host, stored):
-    """Callers were told for good that a job had failed which two more tries may do."""
+    """Guards against a final failure of a job that has two more attempts."""
     book = JobBook()
     book.add(stored, host.queue_of(stored), 0.0)
     for attempt in (1, 2):
@@ -47,10 +47,10 @@
         assert book.get(ID).status not in JobStatus.FINAL
 
 
-def test_job_of_an_unknown_queue_is_advised_and_ordered_as_when_accepted(
+def test_job_of_an_unknown_queue_keeps_its_advice_policy_and_priority(
     host, stored, queue
 ):
-    """Workers refused each start for want of a ticket, and urgent jobs came last."""
+    """Guards against starts refused for lack of a ticket, and urgent jobs run last."""
     found = host.queue_of(stored)
     assert found.advice.expected_seconds(10) == queue.advice.expected_seconds(10)
     assert found.advice.valid_seconds == queue.advice.valid_seconds
@@ -60,8 +60,8 @@
     assert (found.stretch, found.objective_seconds) == (1.5, 0.5)
 
 
-def test_job_without_a_policy_on_record_is_still_read(host, queue):
-    """Jobs of a program before this one would be left out by each owner."""
+def test_job_without_a_recorded_policy_is_still_read(host, queue):
+    """Guards against owners that ignore jobs stored by an earlier release."""
     record = decode_job(ID, queue, BODY, 0.0).as_record()
     record.pop("policy", None)
     assert host.queue_of(JobDocument.from_record(record)).name == "q"
