--- a/papayapick/entry/beats.py
+++ b/papayapick/entry/beats.py
@@ -79,7 +79,7 @@
             sender.wake()
 
     def broadcast(self, owner):
-        """Send the changed job states of an owner's pool to all other hosts."""
+        """Cache an owner's changed job states and send them to the other hosts."""
         self._note_backlogs(owner)
         states = owner.news.take()
         if not states:
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -1,4 +1,4 @@
-"""Put the parts of an entry host together."""
+"""Create the parts of an entry host, connect them and run them."""
 
 import os
 import threading
@@ -49,19 +49,20 @@
 
 __all__ = ["EntryHost"]
 
-_TASKS = 256
-_STORE_CALL_SECONDS = 2.0
-_WORKER_CALL_SECONDS = 1.0
-# Without a word of the store for so long, a host is not ready for callers.
-_STORE_AWAY_SECONDS = 2.6
-# Before the platform kills the process, what is under way has ended.
+_THREADS = 256
+_STORE_TIMEOUT_SECONDS = 2.0
+_WORKER_TIMEOUT_SECONDS = 1.0
+# A host to which the store last answered longer ago is not ready for callers.
+_MAX_STORE_AGE_SECONDS = 2.6
+# Requests in progress end this long before the platform kills the process.
 _GRACE_SLACK_SECONDS = 1.5
-# Nobody has taken over; the last ends are recorded and the pool is freed.
-_GIVE_UP_SECONDS = 1.2
+# If no other host takes a pool over, this time is left to record the last ends of tasks
+# and to release the pool.
+_RELEASE_SECONDS = 1.2
 
 
 class EntryHost:
-    """Run all that an entry host does.
+    """Run the components of one entry host.
 
     Parameters
     ----------
@@ -75,17 +76,17 @@
         self.started_at = self.clock.monotonic()
         self.stopping = threading.Event()
         self.is_draining = False
-        # Whether the rows of the other hosts were read.
+        # Whether the rows of the other hosts have been read.
         self.has_read_hosts = False
-        self.executor = ThreadPoolExecutor(_TASKS, thread_name_prefix="entry")
+        self.executor = ThreadPoolExecutor(_THREADS, thread_name_prefix="entry")
         self._store_latency = StoreLatency()
         self.store = Store(
             settings.store_address,
-            HttpPool(_STORE_CALL_SECONDS),
+            HttpPool(_STORE_TIMEOUT_SECONDS),
             self.clock,
             self._observe_store,
         )
-        self.worker_pool = HttpPool(_WORKER_CALL_SECONDS)
+        self.worker_pool = HttpPool(_WORKER_TIMEOUT_SECONDS)
         self.machines = MachineList(settings.machines_address, self.worker_pool)
         self.job_states = JobStateCache(self.clock)
         self.configuration = ConfigurationWatcher(self)
@@ -94,7 +95,7 @@
             self.relayed_store, self.clock, self.stopping, self.executor
         )
         self.acceptance = Acceptance(self.relayed_store, self.writer, self.job_states)
-        self.advice = AdviceDispatcher(self, HttpPool(_WORKER_CALL_SECONDS))
+        self.advice = AdviceDispatcher(self, HttpPool(_WORKER_TIMEOUT_SECONDS))
         self.peers = None
         self.store_health = StoreHealth(self.clock)
         self._probe = StoreProbe(
@@ -114,45 +115,45 @@
 
     @property
     def store_seconds(self):
-        """Return the seconds that a short call of the store takes; None if unknown."""
+        """Return the minimum latency of the store in seconds, or None if unknown."""
         return self._store_latency.seconds
 
-    # Life.
+    # Start and stop.
 
     def start(self):
-        """Answer health checks at once, then join the cell."""
+        """Start to answer health checks, and join the cell in the background."""
         self.executor.submit(self._frontend_server.run)
         self.executor.submit(self._run_loop, "join", self._join)
 
     def stop(self):
-        """Hand over, finish what is under way, and end."""
+        """Hand over the owned pools, finish requests in progress, and stop."""
         self.is_draining = True
         for candidacy in list(self._candidacies.values()):
             if candidacy.is_owner:
-                # As a task: a store that is away must not hold up the end.
+                # In a thread: an unavailable store must not delay the shutdown.
                 self.executor.submit(self._hand_over, candidacy.owner)
-        rest = self.settings.grace_seconds - _GRACE_SLACK_SECONDS
-        self.clock.wait(self.stopping, rest)
+        wait = self.settings.grace_seconds - _GRACE_SLACK_SECONDS
+        self.clock.wait(self.stopping, wait)
         self.stopping.set()
         self._frontend_server.close()
 
     def _hand_over(self, owner):
-        """Go on as owner until another host has taken the pool."""
+        """Act as owner until another host has taken the pool or time runs out."""
         owner.leave()
-        # All at the same time: who hears of it first would have the pool before the
-        # largest host, which waits for nobody, knows that it is wanted.
+        # To all hosts at once: a host notified earlier would take the pool before the
+        # largest host, which takes it without delay, is notified.
         self._beats.send_all_now()
-        rest = self.settings.grace_seconds - _GRACE_SLACK_SECONDS - _GIVE_UP_SECONDS
-        owner.pause(rest)
+        wait = self.settings.grace_seconds - _GRACE_SLACK_SECONDS - _RELEASE_SECONDS
+        owner.pause(wait)
         if not owner.is_stopped:
             owner.give_up()
 
     def is_ready(self):
-        """Return whether this host can accept jobs."""
+        """Return whether this host can accept jobs; log each change."""
         is_ready = (
             not self.is_draining
             and self.configuration.current is not None
-            and self.store_health.age() < _STORE_AWAY_SECONDS
+            and self.store_health.age() < _MAX_STORE_AGE_SECONDS
         )
         if is_ready != self._was_ready:
             self._was_ready = is_ready
@@ -169,11 +170,11 @@
         return [one.pool for one in list(self._candidacies.values()) if one.is_owner]
 
     def owner_names(self):
-        """Return the names of the hosts that own pools, as far as is known here."""
+        """Return the names of the hosts that own pools, as far as this host knows."""
         return {one.row.owner for one in list(self._candidacies.values())}
 
     def refresh_metrics(self):
-        """Set the gauges, for whoever is about to read them."""
+        """Set the gauges to their present values, before the metrics are served."""
         STORE_AGE_SECONDS.set(self.store_health.age())
         CONFIGURATION_VERSION.set(self.configuration.version)
         CONFIGURATION_AGE_SECONDS.set(self.configuration.age())
@@ -186,8 +187,8 @@
         try:
             step()
         except Exception:
-            # A host without one of its loops serves nobody well; it is started
-            # again by whoever started it.
+            # Without one of its loops a host would serve callers incorrectly. It
+            # exits, and the platform restarts it.
             LOOP_FAILED.write_failure(loop=name)
             os._exit(1)
 
@@ -216,7 +217,7 @@
         ):
             self.executor.submit(self._run_loop, name, step)
 
-    # What the store says.
+    # Rows and answers of the store.
 
     def _observe_store(self, operation, outcome, seconds):
         STORE_SECONDS.labels(operation, outcome).observe(seconds)
@@ -236,7 +237,7 @@
             stopping,
             self._note_store_answer,
             self.store_health.note_failure,
-            # Jobs that were accepted wait until a feed that fell silent is noticed.
+            # Accepted jobs wait until a dead connection is detected.
             lambda: OWNER_WAIT_SECONDS,
             gather,
             on_complete,
@@ -260,7 +261,7 @@
         )
 
     def _cell_wait_seconds(self):
-        # An owner notices soon that it is cut off from the store.
+        # An owner must detect quickly that it is cut off from the store.
         is_owner = any(one.is_owner for one in list(self._candidacies.values()))
         return OWNER_WAIT_SECONDS if is_owner else FOLLOW_WAIT_SECONDS
 
@@ -276,12 +277,13 @@
                 self.peers.note_row(row)
                 is_own = row.key == self.settings.host_name
                 if is_own and row.value is None and not self.is_draining:
-                    # An owner that did not hear this host for long took it for gone.
+                    # An owner removed the row because this host did not answer for a
+                    # long time.
                     self.executor.submit(register, self)
                 continue
-            found = pool_row(row)
-            if found is not None and found.pool in self._candidacies:
-                self._candidacies[found.pool].note_row(found)
+            pool_state = pool_row(row)
+            if pool_state is not None and pool_state.pool in self._candidacies:
+                self._candidacies[pool_state.pool].note_row(pool_state)
         self.has_read_hosts = True
         self._beats.start_missing_senders()
 
@@ -292,7 +294,7 @@
                 candidacy.owner.standing.note_confirmed(asked_at)
 
     def note_configuration(self, configuration):
-        """Watch the pools of a new configuration, and renew queues' policies."""
+        """Watch the pools of a new configuration and update the owners' queues."""
         self._queues.update(configuration)
         for pool in configuration.pools:
             if pool not in self._candidacies:
@@ -307,14 +309,14 @@
         """Return the queue of a job; see ``KnownQueues.queue_of``."""
         return self._queues.queue_of(document)
 
-    # Owning pools.
+    # Ownership of pools.
 
     def note_owner(self, owner):
-        """Tell the other hosts of a pool that this one has taken."""
+        """Announce a pool that this host has taken to the other hosts."""
         self._beats.announce(owner)
 
     def verify_ownership(self, owner):
-        """Look whether the pool is still this host's."""
+        """Read in the background whether this host still owns the pool."""
         self.executor.submit(self._verify_ownership, owner)
 
     def _verify_ownership(self, owner):
@@ -332,11 +334,11 @@
             self._candidacies[owner.pool].note_row(row)
 
     def broadcast(self, owner):
-        """Tell all hosts what has changed in an owner's pool."""
+        """Cache an owner's changed job states and send them to the other hosts."""
         self._beats.broadcast(owner)
 
     def is_owned_by(self, row):
-        """Return whether the host that a row names says that it owns the pool."""
+        """Query the owner that a row names; return whether it owns the pool."""
         for peer in self.peers.all():
             if peer.name == row.owner:
                 return self.peers.owned_epoch(peer, row.pool) >= row.epoch
--- a/papayapick/entry/program.py
+++ b/papayapick/entry/program.py
@@ -26,15 +26,15 @@
 __all__ = ["USAGE", "main"]
 
 EXIT_SETTINGS = 2
-# A small stack: each worker and peer has a task, and memory is paid for.
+# A small stack, since there is a thread for each worker and peer and memory is billed.
 _STACK_BYTES = 256 << 10
-# Lines that were left out are counted up so often.
-_LEFT_OUT_SECONDS = 5.0
-_PORT_LIMIT = 65535
+# Interval at which log lines that were dropped are counted in the metrics.
+_LEFT_OUT_INTERVAL_SECONDS = 5.0
+_MAX_PORT = 65535
 
 USAGE = """Run an entry host on the users' platform.
 
-The settings file of the platform is named by its own variable.
+The settings file is read from the path in the variable PAPAYAPICK_CONFIG.
 
 Usage:
   papayapick-entry [--log-level=LEVEL] [--metrics-port=PORT]
@@ -43,21 +43,21 @@
 
 Options:
   --log-level=LEVEL
-      Least level of the lines that are written [default: INFO].
+      Lowest level of the log lines that are written [default: INFO].
   --metrics-port=PORT
-      Serve metrics at /metrics there; 0 for not at all [default: 0].
+      Serve metrics at /metrics on this port; 0 for none [default: 0].
   --help
-      Show this page.
+      Show this help.
   --version
       Show the version.
 """
 
 
 def main(arguments=None):
-    """Run the entry host until it is told to stop."""
+    """Run the entry host until it receives a stop signal."""
     try:
         options = docopt(USAGE, argv=arguments, version=f"papayapick {VERSION}")
-        settings = PlatformSettings.from_config(metrics_port=_port(options))
+        settings = PlatformSettings.from_config(metrics_port=_parse_port(options))
     except DocoptExit as error:
         sys.stderr.write(f"command.usage: {error}\n")
         sys.exit(EXIT_SETTINGS)
@@ -71,20 +71,21 @@
     log = EventLog(clock, level, static, on_left_out=LINES_LEFT_OUT.inc)
     log.start()
     wakeup = threading.Event()
-    stops = []
+    stop_signals = []
 
-    def note_stop(number, frame):
-        stops.append(number)
+    def request_stop(signal_number, frame):
+        stop_signals.append(signal_number)
         wakeup.set()
 
-    def note_reload(number, frame):
+    def request_reload(signal_number, frame):
         wakeup.set()
 
-    signal.signal(signal.SIGTERM, note_stop)
-    signal.signal(signal.SIGINT, note_stop)
-    signal.signal(signal.SIGHUP, note_reload)
+    signal.signal(signal.SIGTERM, request_stop)
+    signal.signal(signal.SIGINT, request_stop)
+    signal.signal(signal.SIGHUP, request_reload)
     host = EntryHost(settings, clock)
-    # What is loaded by now stays; looking through it again finds nothing.
+    # The objects loaded so far live as long as the process. Freezing them keeps the
+    # garbage collector from traversing them again.
     gc.collect()
     gc.freeze()
     host.start()
@@ -96,12 +97,12 @@
         log_level=level,
         metrics_port=settings.metrics_port,
     )
-    while not stops:
-        wakeup.wait(_LEFT_OUT_SECONDS)
+    while not stop_signals:
+        wakeup.wait(_LEFT_OUT_INTERVAL_SECONDS)
         log.tell_left_out()
-        if wakeup.is_set() and not stops:
+        if wakeup.is_set() and not stop_signals:
             wakeup.clear()
-            _reload()
+            _reread_settings()
     stopped_at = clock.monotonic()
     PROCESS_STOPPING.write(
         owned_pools=host.owned_pools(), grace_seconds=settings.grace_seconds
@@ -109,18 +110,19 @@
     host.stop()
     PROCESS_STOPPED.write(seconds=round(clock.monotonic() - stopped_at, 3))
     log.close()
-    # Tasks that wait for a peer would hold the interpreter open.
+    # Threads that wait for a peer would keep the interpreter from exiting.
     os._exit(0)
 
 
-def _port(options):
+def _parse_port(options):
     text = options["--metrics-port"]
-    if not text.isdecimal() or int(text) > _PORT_LIMIT:
-        raise DocoptExit(f"--metrics-port: {text!r} is no port")
+    if not text.isdecimal() or int(text) > _MAX_PORT:
+        raise DocoptExit(f"--metrics-port: {text!r} is not a valid port")
     return int(text)
 
 
-def _reload():
+def _reread_settings():
+    """Read the settings file and log whether it is valid; change nothing."""
     try:
         PlatformSettings.from_config()
     except PlatformSettingsInvalid as error:
