--- a/papayapick/entry/events.py
+++ b/papayapick/entry/events.py
@@ -1,4 +1,4 @@
-"""What an entry host writes down; the reference page lists the same."""
+"""Events that an entry host logs; the reference page is generated from them."""
 
 import logging
 
@@ -45,60 +45,72 @@
     "WRITE_UNSETTLED",
 ]
 
-# Life of the process.
+# Start and stop of the process.
 
 PROCESS_STARTED = Event(
     "started",
     "version role_address peer_address store_address log_level metrics_port",
-    "The process begins to answer health checks.",
+    "The process starts to answer health checks.",
 )
 PROCESS_STOPPING = Event(
     "stopping",
     "owned_pools grace_seconds",
-    "It was told to stop: it is not ready any more and hands over what it owns.",
+    "The process received a stop signal: it is no longer ready and hands over the "
+    "pools that it owns.",
+)
+PROCESS_STOPPED = Event(
+    "stopped", "seconds", "The process exits; seconds since the stop signal."
+)
+SETTINGS_READ = Event(
+    "settings read again", "", "The settings file was read after SIGHUP and is valid."
 )
-PROCESS_STOPPED = Event("stopped", "seconds", "It ends, so long after it was told to.")
-SETTINGS_READ = Event("settings read again", "", "After SIGHUP.")
 SETTINGS_KEPT = Event(
     "settings kept",
     "error",
-    "The file read after SIGHUP is not valid; the process goes on with the old one.",
+    "The settings file read after SIGHUP is invalid; the process keeps its settings.",
     level=logging.ERROR,
 )
 LOOP_FAILED = Event(
     "loop failed",
     "loop",
-    "A task that must run for ever raised; the process ends to be started again.",
+    "A task that must never end raised an exception; the process exits and must be "
+    "restarted.",
     level=logging.ERROR,
 )
 READINESS_CHANGED = Event(
     "readiness changed",
     "is_ready is_draining configuration_version store_age_seconds",
-    "The answer to health checks is another one from now on.",
+    "The answer to health checks has changed.",
 )
 
-# What it depends on.
+# Store, configuration and other hosts.
 
 CELL_KEY_FOUND = Event(
-    "cell key found", "made_here", "The key that hosts of this cell share is known."
+    "cell key found", "made_here", "The key that the hosts of the cell share was read."
+)
+STORE_AWAY = Event(
+    "store away", "step error", "The store is unavailable while this host joins."
 )
-STORE_AWAY = Event("store away", "step error", "Joining the cell waits for the store.")
 STORE_LOST = Event(
     "store lost",
     "table error age_seconds",
-    "The store does not answer any more where this table is followed.",
+    "The store no longer answers the calls that follow this table.",
     level=logging.WARNING,
 )
 STORE_BACK = Event(
-    "store back", "table version away_seconds", "It answers there again."
+    "store back",
+    "table version away_seconds",
+    "The store answers the calls that follow this table again.",
 )
 STORE_FOUND = Event(
     "store found again",
     "away_seconds",
-    "A lost store answers this host; callers are served again from now on.",
+    "A lost store answers this host again; callers are served from now on.",
 )
 HISTORY_LOST = Event(
-    "history lost", "table version", "The table is read whole: its changes are gone."
+    "history lost",
+    "table version",
+    "The store no longer has the changes since this version; the table is read whole.",
 )
 CONFIGURATION_IN_FORCE = Event(
     "configuration in force",
@@ -108,32 +120,35 @@
 CONFIGURATION_REFUSED = Event(
     "configuration refused",
     "version_in_force error",
-    "A version can't be decoded; the one before stays in force.",
+    "A version cannot be decoded; the previous one stays in force.",
     level=logging.ERROR,
 )
 HOST_REACHED = Event(
     "host reached again",
     "peer pool silent_seconds",
-    "A host that did not answer beats of the owner here answers again.",
+    "A host that did not answer beats of this host's owner answers again.",
 )
 HOST_FORGOTTEN = Event(
-    "host forgotten", "peer", "It was silent for long, and its row was removed."
+    "host forgotten",
+    "peer",
+    "The row of a host was removed, since it had not answered for a long time.",
 )
 HOST_KEPT = Event(
     "host not forgotten",
     "peer error",
-    "The row of a silent host has changed, or the store did not take its removal.",
+    "The row of a host that does not answer was not removed: it has changed, or the "
+    "store refused or did not answer.",
 )
 METRICS_UNSERVED = Event(
     "metrics unserved",
     "port error",
-    "Something else listens at the port for metrics; the host goes on without them.",
+    "Another process listens at the metrics port; the host runs without metrics.",
     level=logging.WARNING,
 )
 HOST_UNREACHED = Event(
     "host unreached",
     "peer pool error",
-    "Another host did not answer a beat of the owner here; told on the first miss.",
+    "A host did not answer a beat of this host's owner; logged on the first miss only.",
 )
 
 # Requests.
@@ -141,96 +156,101 @@
 JOB_ACCEPTED = Event(
     "job accepted",
     "request_id queue pool priority steps tasks seconds configuration_version",
-    "The job is stored and the caller was told so; seconds since its arrival here.",
+    "The job is stored and its caller was informed; seconds since its arrival.",
 )
 JOB_KNOWN = Event(
     "job known already",
     "request_id queue source",
-    "The same id came again: nothing was stored. Source: board, or store.",
+    "A job with a known id was submitted again and not stored. The source is board "
+    "(the cache of job states) or store.",
 )
 CANCEL_STORED = Event(
     "cancel stored",
     "request_id queue seconds",
-    "The cancellation is durable and the caller was told so.",
+    "The cancellation is stored and its caller was informed.",
 )
 REQUEST_REFUSED = Event(
     "request refused",
     "request_id method asked_host path status code detail seconds store_age_seconds "
     "configuration_version retry_after_seconds",
-    "A caller was told anything but success; code names the reason.",
+    "A request was not answered with success; code names the reason.",
     per_second=60,
 )
 REQUEST_FAILED = Event(
     "request failed",
     "request_id method asked_host path",
-    "A request met a fault of this program; the line has the exception.",
+    "A request failed with an unexpected exception, which is part of this line.",
     level=logging.ERROR,
 )
 WRITE_UNSETTLED = Event(
     "write unsettled",
     "request_ids partition error",
-    "The store did not answer a write of callers; it is tried again until "
-    "that is settled.",
+    "The store did not answer a write of callers; the write is retried until its "
+    "outcome is known.",
 )
 WRITE_FAILED = Event(
     "write failed",
     "request_ids partition",
-    "Writing for callers met a fault of this program; they are told that the outcome "
-    "is not known, and the others go on.",
+    "Writing for callers failed with an unexpected exception. These callers are "
+    "informed that the outcome is unknown; others are not affected.",
     level=logging.ERROR,
 )
 CONFLICT_UNCLEAR = Event(
     "conflict without a changed row",
     "request_ids partition",
-    "The store refused a write for a condition that holds.",
+    "The store refused a write because of a condition that holds.",
     level=logging.WARNING,
 )
 RELAY_UNANSWERED = Event(
     "relayed call unanswered",
     "partition error",
-    "A call of the store made for another host had no answer.",
+    "The store did not answer a call that was relayed for another host.",
 )
 
-# Ownership, as candidates see it.
+# Ownership of pools.
 
 CANDIDATE_WAITS = Event(
     "candidate waits",
     "pool epoch owner delay_seconds store_seconds smallness",
-    "The pool needs an owner; this host tries to take it so much later, by its "
-    "distance from the store and by its size.",
+    "The pool needs an owner; this host tries to take it after a delay that depends "
+    "on its latency to the store and on its size.",
 )
 OWNER_SILENT = Event(
     "owner suspected",
     "pool epoch owner silent_seconds is_reported",
-    "The owner of a pool was not heard, is gone, or asked for a successor.",
+    "The owner of a pool is silent, has ended, or asked for a successor.",
 )
 OWNER_GONE = Event(
-    "owner gone", "pool owner", "Nothing listens any more where the owner did."
+    "owner gone", "pool owner", "Nothing listens any longer at the owner's address."
 )
 OWNER_UNCONFIRMED = Event(
     "ownership unconfirmed",
     "pool epoch error",
-    "The owner here could not read whether the pool is still its own.",
+    "This host could not read whether it still owns the pool.",
 )
 OWNERSHIP_UNSAID = Event(
     "ownership unsaid",
     "peer pool error",
-    "A host did not say whether it owns a pool.",
+    "A host did not answer whether it owns a pool.",
 )
 POOL_LOST_RACE = Event(
-    "pool taken by another host", "pool epoch", "This host came too late."
+    "pool taken by another host",
+    "pool epoch",
+    "Another host took the pool before this one.",
 )
 POOL_NOT_TAKEN = Event(
-    "pool not taken", "pool epoch error", "The store did not let this host take it."
+    "pool not taken",
+    "pool epoch error",
+    "The store refused or did not answer the attempt to take the pool.",
 )
 POOL_UNREAD = Event(
     "pool not read",
     "pool epoch error",
-    "Its state could not be read; the pool is freed again.",
+    "The state of a pool just taken could not be read; the pool is released.",
     level=logging.WARNING,
 )
 ADVICE_MOVED = Event(
     "advice asked elsewhere",
     "step peer error",
-    "The host that was to ask for advice is gone; another one is asked at once.",
+    "The host assigned to an advice query has stopped; another one is assigned.",
 )
