--- a/tests/entry/cell.py
+++ b/tests/entry/cell.py
@@ -1,4 +1,4 @@
-"""Start entry hosts as processes beside the stand-in of their platform."""
+"""Run entry hosts as processes beside a stand-in of their platform."""
 
 import http.client
 import itertools
@@ -42,13 +42,13 @@
 """
 
 
-# Below the ports that outgoing connections are given: one of those may take a port
-# between its choice and its use.
+# Below the range of ephemeral ports: an outgoing connection could otherwise take a port
+# between its selection and its use.
 _PORTS = itertools.count(random.Random(os.getpid()).randrange(20_000, 30_000))
 
 
 def free_ports(count):
-    """Return ports that this process hands out once."""
+    """Return free ports; no port is returned twice in this process."""
     ports = []
     while len(ports) < count:
         port = next(_PORTS)
@@ -61,7 +61,7 @@
 
 
 class EntryProcess:
-    """One entry host."""
+    """Run one entry host as a process."""
 
     def __init__(self, name, platform, folder):
         self.name = name
@@ -134,12 +134,12 @@
             connection.close()
 
     def events(self):
-        """Return the lines it has logged, decoded."""
+        """Return the log lines that it has written, decoded."""
         return json_lines(self.log)
 
 
 class EntryCell:
-    """Several entry hosts of one platform."""
+    """Run several entry hosts of one platform."""
 
     def __init__(self, cluster, folder, hosts=3):
         self.cluster = cluster
@@ -167,7 +167,7 @@
             host.end()
 
     def owner(self):
-        """Return the host that owns the pool as the store has it, or None."""
+        """Return the host that owns the pool according to the store, or None."""
         import base64
 
         row = self.cluster.rows.rows.get(("cell", "pool-1", "owner"))
@@ -181,17 +181,17 @@
 
 
 def wait_for(condition, seconds=10.0):
-    """Wait until a condition holds and return what it gave."""
+    """Wait until a condition holds and return its value."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         found = condition()
         if found:
             return found
         time.sleep(POLL_SECONDS)
-    raise AssertionError("not in time")
+    raise AssertionError("condition did not hold in time")
 
 
 def job(tasks=2, **step):
-    """Return the body of a job with one step."""
+    """Return the request body of a job with one step."""
     phase = {"task_count": tasks, "cpu": 500, "mem_mb": 100, "estimate_ms": 100}
     return json.dumps({"spec": "text", "phases": [{**phase, **step}]})
--- a/tests/entry/hosts.py
+++ b/tests/entry/hosts.py
@@ -1,4 +1,4 @@
-"""An entry host in memory: nothing listens, and its store is a pool of the test's."""
+"""Create an entry host in memory that listens nowhere and uses a given HTTP pool."""
 
 from papayapick.entry import process
 from papayapick.entry.process import EntryHost
@@ -25,14 +25,14 @@
 
 
 def make_host(monkeypatch, clock, pool):
-    """Make a host that doesn't listen.
+    """Create a host that does not listen.
 
     Parameters
     ----------
     monkeypatch : pytest.MonkeyPatch
     clock : Clock
     pool : object
-        Stands in for its pools of connections, that to the store among them.
+        Replaces all HTTP pools of the host, including the one for the store.
 
     Returns
     -------
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -1,4 +1,4 @@
-"""What callers are told of how many jobs of a queue have not begun."""
+"""Counts of waiting jobs that are reported to callers."""
 
 import json
 from types import SimpleNamespace
@@ -20,12 +20,12 @@
 )
 
 
-# What callers are promised: no number that they are told is older.
+# Callers are guaranteed that a reported count is no older than this.
 PROMISED_SECONDS = 2.0
 
 
-class EntryStandIn:
-    """Stand for an entry host that serves one queue."""
+class FakeEntryHost:
+    """Stand in for an entry host that serves one queue."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -51,51 +51,51 @@
 
 @pytest.fixture
 def host(clock):
-    return EntryStandIn(clock)
+    return FakeEntryHost(clock)
 
 
-class OwningHost:
-    """Own a pool in which one job waits, and tell another host of it.
+class OwnerWithPeer:
+    """Own a pool in which one job waits, and send beats to another host.
 
     Parameters
     ----------
-    told : EntryStandIn
-        Its clock is another one than the owner's.
+    receiver : FakeEntryHost
+        Its clock differs from the owner's.
     """
 
-    def __init__(self, told):
+    def __init__(self, receiver):
         self.host, self.owner = owner_with(job())
         self.host.settings.host_name = "h1"
         self.host.advice = SimpleNamespace(note_peer_answer=lambda: None)
         self.host.job_states = JobStateCache(self.host.clock)
         self.owner.has_read_state = True
-        self.told = told
+        self.receiver = receiver
         self.is_cut_off = False
         self.beats = []
         candidacy = SimpleNamespace(
             note_beat=lambda beat: True, known_epoch=0, has_read_row=True
         )
-        self.answers = PeerRequestHandler(told, {"pool": candidacy}, None)
+        self.handler = PeerRequestHandler(receiver, {"pool": candidacy}, None)
         self.name, self.client = "h2", self
         self.broadcaster = BeatBroadcaster(self.host, {})
         self.sender = BeatSender(self.host, self.owner, self)
 
     def ask(self, beat, seconds):
-        """Stand for the way to the other host."""
+        """Deliver a beat to the other host, or fail if it is cut off."""
         self.beats.append(beat)
         if self.is_cut_off:
             raise PeerTimeout(address=("10.0.0.2", 7720), seconds=seconds)
-        return self.answers.answer(beat, None, "")
+        return self.handler.answer(beat, None, "")
 
     def close(self):
         pass
 
     def advance(self, seconds):
         self.host.clock.advance(seconds)
-        self.told.clock.advance(seconds)
+        self.receiver.clock.advance(seconds)
 
-    def note_all_taken_in(self):
-        """Let the feed of jobs be answered, and the ownership be confirmed."""
+    def confirm_all_read(self):
+        """Mark all jobs as read and the ownership as confirmed, as of now."""
         now = self.host.clock.monotonic()
         self.owner.sources._note_complete(now)
         self.owner.standing.note_confirmed(now)
@@ -106,11 +106,11 @@
 
 @pytest.fixture
 def owning(host):
-    return OwningHost(host)
+    return OwnerWithPeer(host)
 
 
 def count(host):
-    """Ask for the count of the queue; return status, headers and body."""
+    """Request the count of the queue; return status, headers and body."""
     answers = []
     environ = {
         "SERVER_PORT": "2",
@@ -125,16 +125,20 @@
     return status, headers, json.loads(body)
 
 
-def test_host_that_was_told_nothing_of_a_pool_does_not_say_that_nothing_waits(host):
-    """Callers of a host that had just started were told 0 while 58 jobs waited."""
+def test_host_without_a_report_for_a_pool_refuses_the_count(host):
+    """Guards against a host that has just started and reports 0 while 58 jobs wait."""
     status, headers, body = count(host)
     assert "queued_jobs" not in body
     assert status == "503 Service Unavailable"
     assert headers["Retry-After"] == "1"
 
 
-def test_host_that_was_told_says_how_many_wait(host, owning):
-    """A host knew the clock of its owner only after some beats, and told no number."""
+def test_second_beat_carries_the_count(host, owning):
+    """Guards against counts that are missing until several beats have been sent.
+
+    The owner knows the host's clock after the first answer, and sends the next beat at
+    once.
+    """
     owning.beat()
     assert owning.sender._wakeup.is_set()
     owning.beat()
@@ -142,16 +146,16 @@
     assert (status, body) == ("200 OK", {"queued_jobs": 1})
 
 
-def test_queue_that_a_fresh_word_leaves_out_has_nothing_that_waits(host):
+def test_queue_that_a_recent_report_leaves_out_has_no_waiting_jobs(host):
     host.job_states.note_backlogs("pool", 3, {}, known_at=host.clock.monotonic())
     status, _, body = count(host)
     assert (status, body) == ("200 OK", {"queued_jobs": 0})
 
 
-def test_number_of_an_owner_that_is_gone_is_not_told_for_ever(host, owning):
-    """An owner lost power; callers were told its last number until there was another.
+def test_count_of_an_owner_that_is_gone_expires(host, owning):
+    """Guards against reporting the last count of an owner that lost power.
 
-    It holds as long as callers are promised, and no longer.
+    The count is reported up to its guaranteed maximum age and no longer.
     """
     owning.beat()
     owning.beat()
@@ -161,22 +165,25 @@
     assert count(host)[0] == "503 Service Unavailable"
 
 
-def test_number_of_an_owner_whose_feed_is_silent_is_not_told(host, owning):
-    """An owner beat on while no accepted job reached it, and told too few."""
+def test_count_of_an_owner_that_does_not_receive_new_jobs_expires(host, owning):
+    """Guards against counts that are too low.
+
+    The owner still sends beats, but accepted jobs do not reach it.
+    """
     owning.beat()
     for _ in range(11):
         owning.advance(0.2)
         owning.owner.standing.note_confirmed(owning.host.clock.monotonic())
         owning.beat()
     assert count(host)[0] == "503 Service Unavailable"
-    owning.note_all_taken_in()
+    owning.confirm_all_read()
     owning.advance(0.1)
     owning.beat()
     assert count(host)[2] == {"queued_jobs": 1}
 
 
-def test_late_message_of_a_replaced_owner_does_not_bring_its_number_back(host):
-    """Two owners' messages crossed, and the count of the first one was told again."""
+def test_late_message_of_a_replaced_owner_does_not_restore_its_count(host):
+    """Guards against the count of a replaced owner whose message arrives late."""
     now = host.clock.monotonic()
     host.job_states.note_backlogs("pool", 4, {"q": QueueBacklog(58)}, known_at=now)
     host.job_states.note_backlogs("pool", 3, {"q": QueueBacklog(2, 9)}, known_at=now)
@@ -184,26 +191,26 @@
     assert host.job_states.retry_after("pool", "q") == 0
 
 
-def test_message_that_was_held_up_on_its_way_tells_no_number_as_fresh(host, owning):
-    """A cut between two hosts healed, and a beat of seconds ago arrived."""
+def test_count_in_a_delayed_message_is_not_reported_as_recent(host, owning):
+    """Guards against beats that arrive seconds late after a network partition."""
     owning.beat()
     owning.beat()
     late = owning.beats[-1]
     owning.advance(PROMISED_SECONDS + 0.5)
-    owning.answers.answer(late, None, "")
+    owning.handler.answer(late, None, "")
     assert count(host)[0] == "503 Service Unavailable"
 
 
 def test_earlier_message_of_the_same_owner_does_not_replace_a_later_one(host):
-    """Beats of two connections crossed after a cut, and the older number stood."""
+    """Guards against an older count if beats of two connections arrive out of order."""
     now = host.clock.monotonic()
     host.job_states.note_backlogs("pool", 3, {"q": QueueBacklog(58)}, known_at=now)
     host.job_states.note_backlogs("pool", 3, {}, known_at=now - 0.5)
     assert count(host)[2] == {"queued_jobs": 58}
 
 
-def test_clock_of_a_host_is_learnt_anew_after_it_was_not_reached(host, owning):
-    """A machine in the place of another has another clock: old numbers seemed fresh."""
+def test_clock_of_a_host_is_measured_again_after_it_was_not_reached(host, owning):
+    """Guards against old counts that look recent on a replacement machine's clock."""
     owning.beat()
     owning.is_cut_off = True
     owning.beat()
@@ -212,16 +219,16 @@
     assert owning.beats[-1].known_at_milliseconds == 0
 
 
-def test_number_from_later_than_now_is_not_told(host, owning):
-    """A host had another clock than the one that its owner knew."""
+def test_count_as_of_a_future_time_is_not_reported(host, owning):
+    """Guards against an owner that has measured the clock of a replaced machine."""
     owning.beat()
     owning.sender._peer_clock_lead += 60.0
     owning.beat()
     assert count(host)[0] == "503 Service Unavailable"
 
 
-def test_refusal_holds_for_its_own_time_and_no_longer(host):
-    """A queue was closed for ever: the owner that had closed it was gone."""
+def test_refusal_expires_after_its_retry_time(host):
+    """Guards against a queue that stays closed after its owner has ended."""
     host.job_states.note_backlogs("pool", 3, {"q": QueueBacklog(500, 9)})
     assert host.job_states.retry_after("pool", "q") == 9
     host.clock.advance(8.5)
@@ -230,18 +237,18 @@
     assert host.job_states.retry_after("pool", "q") == 0
 
 
-def test_owner_of_a_quiet_pool_tells_the_number_on_its_own_host(owning):
-    """No job changed for two seconds, and the owner's own host knew no number."""
+def test_owner_of_a_pool_without_changes_updates_the_count_on_its_own_host(owning):
+    """Guards against a count that expires on the owner's host after two seconds."""
     for _ in range(30):
         owning.host.clock.advance(0.1)
-        owning.note_all_taken_in()
+        owning.confirm_all_read()
         owning.broadcaster.broadcast(owning.owner)
     assert owning.host.job_states.waiting(QUEUE) == 1
 
 
 @pytest.mark.parametrize("is_local", [True, False])
-def test_owner_that_has_not_read_its_state_tells_no_number(host, owning, is_local):
-    """A new owner with an empty book said that nothing waits."""
+def test_owner_that_has_not_read_its_state_reports_no_count(host, owning, is_local):
+    """Guards against a count of 0 by a new owner that has not read its jobs."""
     owning.owner.has_read_state = False
     owning.broadcaster.broadcast(owning.owner)
     owning.beat()
@@ -254,7 +261,7 @@
 def test_owner_that_has_not_read_its_state_opens_no_closed_queue(
     host, owning, is_local
 ):
-    """A takeover let callers into a full queue until the new owner had counted."""
+    """Guards against a takeover that opens a full queue until the jobs are counted."""
     job_states = owning.host.job_states if is_local else host.job_states
     job_states.note_backlogs("pool", 2, {"q": QueueBacklog(500, 9)})
     owning.owner.has_read_state = False
@@ -267,8 +274,8 @@
     assert job_states.retry_after("pool", "q") == 0
 
 
-def test_metrics_leave_out_numbers_that_are_too_old(host):
-    """A graph showed the backlog of an owner that was gone."""
+def test_metrics_leave_out_counts_that_are_too_old(host):
+    """Guards against graphs that show the backlog of an owner that is gone."""
     job_states, now = host.job_states, host.clock.monotonic()
     job_states.note_backlogs("pool", 3, {"q": QueueBacklog(58)}, known_at=now)
     assert job_states.all_waiting() == {"q": 58}
@@ -278,7 +285,7 @@
 
 @pytest.mark.parametrize(("age", "shown"), [(None, "None"), (3.25, "3.25")])
 def test_refused_count_names_pool_and_age(host, age, shown):
-    """Whoever read the log could not tell an owner that was gone from none at all."""
+    """Guards against logs in which an ended owner looks like a missing one."""
     if age is not None:
         then = host.clock.monotonic() - age
         host.job_states.note_backlogs("pool", 3, {}, known_at=then)
--- a/tests/entry/test_processes.py
+++ b/tests/entry/test_processes.py
@@ -1,4 +1,4 @@
-"""Entry hosts as processes: the whole path, and the death of an owner."""
+"""Entry hosts as processes, from the request to the worker, and takeovers."""
 
 import signal
 import time
@@ -45,7 +45,7 @@
     return all(len(starts) == 1 for starts in cluster.starts().values())
 
 
-def test_job_accepted_by_one_host_is_told_by_all(cluster, cell):
+def test_job_accepted_by_one_host_is_reported_by_all(cluster, cell):
     first, *rest = cell.hosts
     assert _submit(first, IDS[0], job()) == 200
     for host in cell.hosts:
@@ -54,7 +54,7 @@
     assert _runs_once(cluster)
 
 
-def test_metrics_tell_of_a_job(cluster, cell):
+def test_metrics_count_a_job(cluster, cell):
     first, second = cell.hosts[:2]
     assert _submit(first, IDS[0], job(tasks=2)) == 200
     wait_for(_completed(second, IDS[:1]))
@@ -75,7 +75,7 @@
 
 
 def test_host_starts_without_metrics_where_their_port_is_taken(cluster, tmp_path):
-    """No host of a cell starts: something else listens where metrics are to be."""
+    """Guards against hosts that do not start because the metrics port is in use."""
     with EntryCell(cluster, tmp_path, hosts=1) as first:
         taken = first.hosts[0].metrics
         other = EntryProcess("host-9", cluster.address, tmp_path)
@@ -83,18 +83,21 @@
         other.start()
         try:
             wait_for(other.is_ready)
-            # Lines are written some 20 ms after they are told.
-            wait_for(lambda: "metrics unserved" in _told(other))
+            # Log lines are written about 20 ms after their events.
+            wait_for(lambda: "metrics unserved" in _logged_events(other))
         finally:
             other.end()
 
 
-def _told(host):
+def _logged_events(host):
     return [line["event"] for line in host.events()]
 
 
 def test_same_id_again_is_the_same_job(cluster, cell):
-    """Fees are billed twice: a request was sent again, to another host."""
+    """Guards against a job that runs twice because its request was repeated.
+
+    The repeated request went to another host, and fees were billed twice.
+    """
     for host in cell.hosts:
         assert _submit(host, IDS[0], job(1)) == 200
     wait_for(_completed(cell.hosts[0], IDS[:1]))
@@ -115,16 +118,16 @@
         ("GET", "/quick/", None, 200),
     ],
 )
-def test_each_wrong_request_has_its_answer(wrong, method, path, body, status):
-    assert wrong.call(method, path, body)[0] == status
+def test_each_kind_of_request_has_its_status(single_host, method, path, body, status):
+    assert single_host.call(method, path, body)[0] == status
 
 
 @pytest.fixture(scope="module")
-def wrong(tmp_path_factory):
+def single_host(tmp_path_factory):
     cluster = Cluster()
     cluster.configure()
     with EntryCell(cluster, tmp_path_factory.mktemp("cell"), hosts=1) as cell:
-        # A host that has just started does not know yet how many jobs wait.
+        # A host that has just started does not know the count of waiting jobs yet.
         wait_for(lambda: cell.hosts[0].call("GET", "/quick/")[0] == 200)
         yield cell.hosts[0]
     cluster.close()
@@ -146,12 +149,12 @@
     [signal.SIGKILL, signal.SIGSTOP, signal.SIGTERM],
     ids=["killed", "frozen", "stopped"],
 )
-def test_takeover_keeps_what_runs_and_places_the_rest(cluster, cell, end):
-    """A job is late or doubled because its owner went away.
+def test_takeover_keeps_running_tasks_and_places_the_others(cluster, cell, end):
+    """Guards against jobs that are late or run twice after their owner has ended.
 
-    The owner is killed, frozen or told to stop while tasks run. Another host takes
-    over, finds them at their workers, and places the rest; no lease lapses and no
-    task runs twice.
+    The owner is killed, frozen or stopped while tasks run. Another host takes over,
+    finds the tasks at their workers and places the others; no lease expires and no task
+    runs twice.
     """
     owner = cell.owner()
     survivor = cell.others(owner)[0]
@@ -176,8 +179,8 @@
     assert lapsed == []
 
 
-def test_frozen_owner_that_wakes_orders_nothing(cluster, cell):
-    """A task runs in two places: the old owner went on where it had stopped."""
+def test_frozen_owner_that_resumes_sends_no_orders(cluster, cell):
+    """Guards against a task that runs twice because a replaced owner continues."""
     owner = cell.owner()
     owner.signal(signal.SIGSTOP)
     wait_for(lambda: cell.owner() not in (None, owner))
@@ -191,11 +194,11 @@
     assert _runs_once(cluster)
 
 
-def test_end_of_a_dead_owner_is_read_again(cluster, cell):
-    """A finished task runs again: its end was reported to an owner that died.
+def test_end_reported_to_a_killed_owner_is_read_again(cluster, cell):
+    """Guards against a finished task that runs again after its owner was killed.
 
-    The store refuses writes, so the end is not recorded; then the owner dies. The
-    worker still lists the end, and the successor takes it from there.
+    The store refuses writes, so the end is not recorded, and then the owner is killed.
+    The worker still lists the end, and the new owner reads it from there.
     """
     owner = cell.owner()
     survivor = cell.others(owner)[0]
@@ -211,8 +214,8 @@
     assert _runs_once(cluster)
 
 
-def test_whole_cell_killed_finds_its_jobs_again(cluster, cell):
-    """An accepted job is gone after a power loss of all hosts."""
+def test_restart_of_all_hosts_keeps_accepted_jobs(cluster, cell):
+    """Guards against the loss of accepted jobs after a power loss of all hosts."""
     for worker in cluster.workers.values():
         worker.task_seconds = 1.5
     assert _submit(cell.hosts[0], IDS[0], job(2)) == 200
@@ -227,8 +230,8 @@
     assert _runs_once(cluster)
 
 
-def _told_count(host):
-    """Return the number of waiting jobs that a host tells, or the status without."""
+def _reported_count(host):
+    """Return the count of waiting jobs that a host reports, or its error status."""
     try:
         status, body = host.call("GET", "/quick/")
     except OSError:
@@ -236,28 +239,31 @@
     return body["queued_jobs"] if status == 200 else status
 
 
-def test_hosts_that_have_just_started_tell_the_right_count_or_none(cluster, cell):
-    """All hosts lost power; one that was told nothing yet said that nothing waits."""
+def test_hosts_that_have_just_started_report_the_right_count_or_none(cluster, cell):
+    """Guards against a count of 0 before a host has received a report.
+
+    All hosts lose power and restart while jobs wait.
+    """
     too_large = job(tasks=1, cpu=1_000_000)
     for identifier in IDS[:3]:
         assert _submit(cell.hosts[0], identifier, too_large) == 200
-    wait_for(lambda: all(_told_count(host) == 3 for host in cell.hosts))
+    wait_for(lambda: all(_reported_count(host) == 3 for host in cell.hosts))
     for host in cell.hosts:
         host.end()
     for host in cell.hosts:
         host.start()
-    told = []
+    reported = []
 
-    def are_all_told():
-        told.append([_told_count(host) for host in cell.hosts])
-        return told[-1] == [3, 3, 3]
+    def all_report_three():
+        reported.append([_reported_count(host) for host in cell.hosts])
+        return reported[-1] == [3, 3, 3]
 
-    wait_for(are_all_told, 20)
-    assert {count for counts in told for count in counts} <= {3, 503}
+    wait_for(all_report_three, 20)
+    assert {count for counts in reported for count in counts} <= {3, 503}
 
 
-def test_order_carried_out_late_runs_nothing_twice(cluster, cell):
-    """A refresh is counted twice: its first order was carried out seconds late."""
+def test_order_that_a_worker_executes_late_runs_nothing_twice(cluster, cell):
+    """Guards against a task that runs twice because its first order was delayed."""
     for worker in cluster.workers.values():
         worker.starts_to_delay = 1
     identifiers = IDS[:4]
@@ -272,8 +278,8 @@
     assert _runs_once(cluster)
 
 
-def test_store_that_is_down_refuses_new_jobs_and_keeps_what_runs(cluster, cell):
-    """Callers wait for their time limit while the store is down."""
+def test_unavailable_store_refuses_new_jobs_and_keeps_running_ones(cluster, cell):
+    """Guards against callers that run into their time limit during a store outage."""
     for worker in cluster.workers.values():
         worker.task_seconds = 1.0
     host = cell.hosts[0]
@@ -287,11 +293,11 @@
     assert [task for task in cluster.starts() if task.startswith(IDS[1])] == []
 
 
-def test_crashed_worker_does_not_keep_its_tasks_to_the_end_of_its_lease(cluster, cell):
-    """A count takes five seconds in place of one: its worker crashed.
+def test_tasks_of_a_crashed_worker_do_not_wait_for_the_end_of_its_lease(cluster, cell):
+    """Guards against a job of one second that takes five because its worker crashed.
 
-    The worker answers nothing, and its lease lasts 3.6 s. The list of machines shows
-    at once that its life is over.
+    The worker does not answer, and its lease lasts 3.6 s. The list of machines shows at
+    once that the worker no longer exists.
     """
     for worker in cluster.workers.values():
         worker.task_seconds = 1.0
@@ -313,7 +319,7 @@
     wait_for(_completed(cell.hosts[0], IDS[:1]))
 
 
-def test_newer_configuration_is_in_force_and_never_goes_back(cluster, cell):
+def test_newer_configuration_is_never_replaced_by_an_older_one(cluster, cell):
     host = cell.hosts[0]
     cluster.configure(version=5, path_prefix="/other/")
     wait_for(lambda: host.call("GET", "/other/")[0] == 200)
@@ -323,7 +329,7 @@
     assert host.call("GET", "/other/")[0] == 200
 
 
-def test_stopping_host_is_not_ready_and_answers_on(cluster, cell):
+def test_stopping_host_is_not_ready_but_still_accepts_jobs(cluster, cell):
     host = cell.hosts[0]
     host.signal(signal.SIGTERM)
     wait_for(lambda: not host.is_ready())
@@ -333,10 +339,11 @@
     wait_for(_completed(cell.hosts[1], IDS[:1]))
 
 
-def test_wave_of_upkeep_goes_on_under_a_new_owner(cluster, cell):
-    """A wave begins, its owner is killed, and jobs go on meanwhile.
+def test_upkeep_wave_continues_under_a_new_owner(cluster, cell):
+    """An upkeep wave starts, its owner is killed, and jobs run in the meantime.
 
-    Each machine has its upkeep once, one at a time, and the wave is told to be over.
+    Each machine has its upkeep once, one machine at a time, and the wave is reported as
+    completed.
     """
     first = cell.hosts[0]
     assert _submit(first, IDS[0], job(tasks=4)) == 200
@@ -355,9 +362,9 @@
 
 
 def test_host_whose_row_was_removed_registers_again(cluster, cell):
-    """A host is cut off for ten minutes; the owner takes it for gone.
+    """Guards against a host without beats after it was cut off for ten minutes.
 
-    Its row was removed, and no owner told it anything any more once it was back.
+    The owner has removed its row, and sends beats to registered hosts only.
     """
     place = ("cell", "hosts", "host-2")
     wait_for(lambda: place in cluster.rows.rows)
@@ -370,7 +377,7 @@
 def test_jobs_are_placed_soon_after_an_outage_in_which_all_hosts_restarted(
     cluster, cell
 ):
-    """Nobody took the pool for ten times the rest of the outage; jobs waited."""
+    """Guards against a pool without an owner for ten times the rest of an outage."""
     cluster.rows.is_down = True
     for host in cell.hosts:
         host.signal(signal.SIGKILL)
