--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -1,4 +1,4 @@
-"""Put the parts of an entry host together."""
+"""Create the parts of an entry host, connect them and run them."""
 
 import os
 import threading
@@ -8,13 +8,11 @@
 from papayapick.clients.http import HttpPool
 from papayapick.clock import BootClock
 from papayapick.entry.acceptance import Acceptance
-from papayapick.entry.advisers import AdviceDesk
-from papayapick.entry.answers import PeerAnswers
+from papayapick.entry.advice_dispatch import AdviceDispatcher
 from papayapick.entry.application import Application
-from papayapick.entry.board import StateBoard
+from papayapick.entry.beats import BeatBroadcaster
 from papayapick.entry.candidacy import Candidacy
 from papayapick.entry.configuration import ConfigurationWatcher
-from papayapick.entry.distance import StoreDistance
 from papayapick.entry.events import (
     LOOP_FAILED,
     OWNER_UNCONFIRMED,
@@ -25,20 +23,22 @@
     OWNER_WAIT_SECONDS,
     follow_table,
 )
+from papayapick.entry.job_states import JobStateCache
 from papayapick.entry.joining import cell_key, register
-from papayapick.entry.lines import OwnerLines
 from papayapick.entry.metrics import (
     CONFIGURATION_AGE_SECONDS,
     CONFIGURATION_VERSION,
     STORE_AGE_SECONDS,
     STORE_SECONDS,
 )
+from papayapick.entry.peer_requests import PeerRequestHandler
 from papayapick.entry.peers import HOSTS_PARTITION, Peers
 from papayapick.entry.probing import StoreProbe
 from papayapick.entry.queues import KnownQueues
 from papayapick.entry.relays import RelayedStore, StoreRelay
-from papayapick.entry.servers import FrontServer
+from papayapick.entry.servers import FrontendServer
 from papayapick.entry.store_health import StoreHealth
+from papayapick.entry.store_latency import StoreLatency
 from papayapick.entry.writers import GroupWriter
 from papayapick.ownership.pools import CELL_TABLE, pool_row, read_pool
 from papayapick.platform.machines import MachineList
@@ -49,19 +49,20 @@
 
 __all__ = ["EntryHost"]
 
-_TASKS = 256
-_STORE_CALL_SECONDS = 2.0
-_WORKER_CALL_SECONDS = 1.0
-# Without a word of the store for so long, a host is not ready for callers.
-_STORE_AWAY_SECONDS = 2.6
-# Before the platform kills the process, what is under way has ended.
+_THREADS = 256
+_STORE_TIMEOUT_SECONDS = 2.0
+_WORKER_TIMEOUT_SECONDS = 1.0
+# A host to which the store last answered longer ago is not ready for callers.
+_MAX_STORE_AGE_SECONDS = 2.6
+# Requests in progress end this long before the platform kills the process.
 _GRACE_SLACK_SECONDS = 1.5
-# Nobody has taken over; the last ends are recorded and the pool is freed.
-_GIVE_UP_SECONDS = 1.2
+# If no other host takes a pool over, this time is left to record the last ends of tasks
+# and to release the pool.
+_RELEASE_SECONDS = 1.2
 
 
 class EntryHost:
-    """Run all that an entry host does.
+    """Run the components of one entry host.
 
     Parameters
     ----------
@@ -75,26 +76,26 @@
         self.started_at = self.clock.monotonic()
         self.stopping = threading.Event()
         self.is_draining = False
-        # Whether the rows of the other hosts were read.
-        self.knows_cell = False
-        self.executor = ThreadPoolExecutor(_TASKS, thread_name_prefix="entry")
-        self._store_distance = StoreDistance()
+        # Whether the rows of the other hosts have been read.
+        self.has_read_hosts = False
+        self.executor = ThreadPoolExecutor(_THREADS, thread_name_prefix="entry")
+        self._store_latency = StoreLatency()
         self.store = Store(
             settings.store_address,
-            HttpPool(_STORE_CALL_SECONDS),
+            HttpPool(_STORE_TIMEOUT_SECONDS),
             self.clock,
             self._observe_store,
         )
-        self.worker_pool = HttpPool(_WORKER_CALL_SECONDS)
+        self.worker_pool = HttpPool(_WORKER_TIMEOUT_SECONDS)
         self.machines = MachineList(settings.machines_address, self.worker_pool)
-        self.board = StateBoard(self.clock)
+        self.job_states = JobStateCache(self.clock)
         self.configuration = ConfigurationWatcher(self)
         self.relayed_store = RelayedStore(self)
         self.writer = GroupWriter(
             self.relayed_store, self.clock, self.stopping, self.executor
         )
-        self.acceptance = Acceptance(self.relayed_store, self.writer, self.board)
-        self.advice = AdviceDesk(self, HttpPool(_WORKER_CALL_SECONDS))
+        self.acceptance = Acceptance(self.relayed_store, self.writer, self.job_states)
+        self.advice = AdviceDispatcher(self, HttpPool(_WORKER_TIMEOUT_SECONDS))
         self.peers = None
         self.store_health = StoreHealth(self.clock)
         self._probe = StoreProbe(
@@ -107,52 +108,52 @@
         self._relay = StoreRelay(self)
         self._candidacies = {}
         self._was_ready = False
-        self._lines = OwnerLines(self, self._candidacies)
+        self._beats = BeatBroadcaster(self, self._candidacies)
         self._queues = KnownQueues()
-        self._front = FrontServer(settings, Application(self))
+        self._frontend_server = FrontendServer(settings, Application(self))
         self._peer_server = None
 
     @property
     def store_seconds(self):
-        """Return the seconds that a short call of the store takes; None if unknown."""
-        return self._store_distance.seconds
+        """Return the minimum latency of the store in seconds, or None if unknown."""
+        return self._store_latency.seconds
 
-    # Life.
+    # Start and stop.
 
     def start(self):
-        """Answer health checks at once, then join the cell."""
-        self.executor.submit(self._front.run)
+        """Start to answer health checks, and join the cell in the background."""
+        self.executor.submit(self._frontend_server.run)
         self.executor.submit(self._run_loop, "join", self._join)
 
     def stop(self):
-        """Hand over, finish what is under way, and end."""
+        """Hand over the owned pools, finish requests in progress, and stop."""
         self.is_draining = True
         for candidacy in list(self._candidacies.values()):
             if candidacy.is_owner:
-                # As a task: a store that is away must not hold up the end.
+                # In a thread: an unavailable store must not delay the shutdown.
                 self.executor.submit(self._hand_over, candidacy.owner)
-        rest = self.settings.grace_seconds - _GRACE_SLACK_SECONDS
-        self.clock.wait(self.stopping, rest)
+        wait = self.settings.grace_seconds - _GRACE_SLACK_SECONDS
+        self.clock.wait(self.stopping, wait)
         self.stopping.set()
-        self._front.close()
+        self._frontend_server.close()
 
     def _hand_over(self, owner):
-        """Go on as owner until another host has taken the pool."""
+        """Act as owner until another host has taken the pool or time runs out."""
         owner.leave()
-        # All at the same time: who hears of it first would have the pool before the
-        # largest host, which waits for nobody, knows that it is wanted.
-        self._lines.beat_now()
-        rest = self.settings.grace_seconds - _GRACE_SLACK_SECONDS - _GIVE_UP_SECONDS
-        owner.pause(rest)
+        # To all hosts at once: a host notified earlier would take the pool before the
+        # largest host, which takes it without delay, is notified.
+        self._beats.send_all_now()
+        wait = self.settings.grace_seconds - _GRACE_SLACK_SECONDS - _RELEASE_SECONDS
+        owner.pause(wait)
         if not owner.is_stopped:
             owner.give_up()
 
     def is_ready(self):
-        """Return whether this host can accept jobs."""
+        """Return whether this host can accept jobs; log each change."""
         is_ready = (
             not self.is_draining
             and self.configuration.current is not None
-            and self.store_health.age() < _STORE_AWAY_SECONDS
+            and self.store_health.age() < _MAX_STORE_AGE_SECONDS
         )
         if is_ready != self._was_ready:
             self._was_ready = is_ready
@@ -160,7 +161,7 @@
                 is_ready=is_ready,
                 is_draining=self.is_draining,
                 configuration_version=self.configuration.version,
-                store_age_seconds=self.store_health.shown_age(),
+                store_age_seconds=self.store_health.logged_age(),
             )
         return is_ready
 
@@ -169,25 +170,25 @@
         return [one.pool for one in list(self._candidacies.values()) if one.is_owner]
 
     def owner_names(self):
-        """Return the names of the hosts that own pools, as far as is known here."""
+        """Return the names of the hosts that own pools, as far as this host knows."""
         return {one.row.owner for one in list(self._candidacies.values())}
 
     def refresh_metrics(self):
-        """Set the gauges, for whoever is about to read them."""
+        """Set the gauges to their present values, before the metrics are served."""
         STORE_AGE_SECONDS.set(self.store_health.age())
         CONFIGURATION_VERSION.set(self.configuration.version)
         CONFIGURATION_AGE_SECONDS.set(self.configuration.age())
         OWNED_POOLS.set(len(self.owned_pools()))
         WAITING_JOBS.clear()
-        for queue, count in self.board.all_waiting().items():
+        for queue, count in self.job_states.all_waiting().items():
             WAITING_JOBS.labels(queue).set(count)
 
     def _run_loop(self, name, step):
         try:
             step()
         except Exception:
-            # A host without one of its loops serves nobody well; it is started
-            # again by whoever started it.
+            # Without one of its loops a host would serve callers incorrectly. It
+            # exits, and the platform restarts it.
             LOOP_FAILED.write_failure(loop=name)
             os._exit(1)
 
@@ -198,14 +199,14 @@
             host=settings.host_name, region=settings.region, zone=settings.zone
         )
         self.peers = Peers(self, keys, identity, self.executor)
-        answers = PeerAnswers(self, self._candidacies, self._relay)
+        handler = PeerRequestHandler(self, self._candidacies, self._relay)
         self._peer_server = PeerServer(
             settings.peer_address,
             keys,
             identity,
-            answers.answer,
+            handler.answer,
             self.executor,
-            on_end=answers.note_end,
+            on_end=handler.note_disconnect,
         )
         self._peer_server.start()
         register(self)
@@ -216,11 +217,11 @@
         ):
             self.executor.submit(self._run_loop, name, step)
 
-    # What the store says.
+    # Rows and answers of the store.
 
     def _observe_store(self, operation, outcome, seconds):
         STORE_SECONDS.labels(operation, outcome).observe(seconds)
-        self._store_distance.note_call(operation, outcome, seconds)
+        self._store_latency.note_call(operation, outcome, seconds)
 
     def follow(
         self, table, version, on_rows, read_all, stopping, gather=0.0, on_complete=None
@@ -236,14 +237,14 @@
             stopping,
             self._note_store_answer,
             self.store_health.note_failure,
-            # Jobs that were accepted wait until a feed that fell silent is noticed.
+            # Accepted jobs wait until a dead connection is detected.
             lambda: OWNER_WAIT_SECONDS,
             gather,
             on_complete,
         )
 
     def _note_store_answer(self, asked_at):
-        self.store_health.note_word()
+        self.store_health.note_answer()
 
     def _follow_cell(self):
         follow_table(
@@ -260,7 +261,7 @@
         )
 
     def _cell_wait_seconds(self):
-        # An owner notices soon that it is cut off from the store.
+        # An owner must detect quickly that it is cut off from the store.
         is_owner = any(one.is_owner for one in list(self._candidacies.values()))
         return OWNER_WAIT_SECONDS if is_owner else FOLLOW_WAIT_SECONDS
 
@@ -276,14 +277,15 @@
                 self.peers.note_row(row)
                 is_own = row.key == self.settings.host_name
                 if is_own and row.value is None and not self.is_draining:
-                    # An owner that did not hear this host for long took it for gone.
+                    # An owner removed the row because this host did not answer for a
+                    # long time.
                     self.executor.submit(register, self)
                 continue
-            found = pool_row(row)
-            if found is not None and found.pool in self._candidacies:
-                self._candidacies[found.pool].note_row(found)
-        self.knows_cell = True
-        self._lines.open()
+            pool_state = pool_row(row)
+            if pool_state is not None and pool_state.pool in self._candidacies:
+                self._candidacies[pool_state.pool].note_row(pool_state)
+        self.has_read_hosts = True
+        self._beats.start_missing_senders()
 
     def _note_cell_answer(self, asked_at):
         self._note_store_answer(asked_at)
@@ -292,8 +294,8 @@
                 candidacy.owner.standing.note_confirmed(asked_at)
 
     def note_configuration(self, configuration):
-        """Watch the pools of a new configuration, and renew queues' policies."""
-        self._queues.note(configuration)
+        """Watch the pools of a new configuration and update the owners' queues."""
+        self._queues.update(configuration)
         for pool in configuration.pools:
             if pool not in self._candidacies:
                 candidacy = Candidacy(self, pool)
@@ -307,17 +309,17 @@
         """Return the queue of a job; see ``KnownQueues.queue_of``."""
         return self._queues.queue_of(document)
 
-    # Owning pools.
+    # Ownership of pools.
 
     def note_owner(self, owner):
-        """Tell the other hosts of a pool that this one has taken."""
-        self._lines.renew(owner)
+        """Announce a pool that this host has taken to the other hosts."""
+        self._beats.announce(owner)
 
-    def look_at_owner(self, owner):
-        """Look whether the pool is still this host's."""
-        self.executor.submit(self._look_at_owner, owner)
+    def verify_ownership(self, owner):
+        """Read in the background whether this host still owns the pool."""
+        self.executor.submit(self._verify_ownership, owner)
 
-    def _look_at_owner(self, owner):
+    def _verify_ownership(self, owner):
         asked_at = self.clock.monotonic()
         try:
             row = read_pool(self.store, owner.pool)
@@ -331,12 +333,12 @@
         else:
             self._candidacies[owner.pool].note_row(row)
 
-    def tell(self, owner):
-        """Tell all hosts what has changed in an owner's pool."""
-        self._lines.tell(owner)
+    def broadcast(self, owner):
+        """Cache an owner's changed job states and send them to the other hosts."""
+        self._beats.broadcast(owner)
 
     def is_owned_by(self, row):
-        """Return whether the host that a row names says that it owns the pool."""
+        """Query the owner that a row names; return whether it owns the pool."""
         for peer in self.peers.all():
             if peer.name == row.owner:
                 return self.peers.owned_epoch(peer, row.pool) >= row.epoch
--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -53,10 +53,10 @@
     def queue_of(self, document):
         return QUEUE
 
-    def tell(self, owner):
+    def broadcast(self, owner):
         pass
 
-    def note_word(self):
+    def note_answer(self):
         pass
 
     def transact(self, expectations, writes, seconds=None):
