--- a/papayapick/placement/exclusions.py
+++ b/papayapick/placement/exclusions.py
@@ -45,6 +45,7 @@
 
 
 def _wait_seconds(step, task):
+    # The failures of a gang are counted on its first task.
     counted_task = step.tasks[0] if step.step.is_gang else task
     is_last_attempt = counted_task.failures + 1 >= step.job.queue.failure_limit
     return _LAST_ATTEMPT_WAIT_SECONDS if is_last_attempt else _WAIT_SECONDS
--- a/papayapick/placement/holds.py
+++ b/papayapick/placement/holds.py
@@ -21,8 +21,8 @@
 # Maximum number of tasks for which a step of single tasks holds room at a time. Its
 # other tasks follow as these are placed.
 _MAX_HELD_TASKS = 2
-# Maximum number of steps per round that try to hold room. The first steps hold what
-# there is, so that further ones would hold hardly any.
+# Maximum number of steps per round that try to hold room. The first ones hold the room
+# that is available for holds, so further steps would get hardly any.
 _MAX_STEPS = 32
 # A hold moves to another worker only if that is free in less than this share of the
 # time. Estimates change with each round, and a hold that alternates between workers
@@ -194,11 +194,11 @@
             room: self._free_in(room, step_state, len(indexes))
             for room, indexes in planned.items()
         }
-        last = max((seconds for seconds, _ in free.values()), default=0.0)
+        longest = max((seconds for seconds, _ in free.values()), default=0.0)
         held_on = {}
         for room, (seconds, spare) in free.items():
             # The members of a gang start together.
-            begins_at = self._now + (last if step_state.step.is_gang else seconds)
+            begins_at = self._now + (longest if step_state.step.is_gang else seconds)
             # A task that was placed despite the hold may take longer than its estimate.
             # If this deferred the hold, more tasks could be placed, and it would never
             # begin.
@@ -210,7 +210,7 @@
         if not free:
             return None
         if step_state.step.is_gang:
-            return last
+            return longest
         return min(seconds for seconds, _ in free.values())
 
 
--- a/papayapick/placement/pace.py
+++ b/papayapick/placement/pace.py
@@ -1,4 +1,4 @@
-"""Throttle filler tasks, so that tasks on the same worker keep their response time."""
+"""Throttle filler tasks, so that tasks beside them keep their limit on latency."""
 
 __all__ = ["Pacer"]
 
--- a/papayapick/placement/steps.py
+++ b/papayapick/placement/steps.py
@@ -45,7 +45,7 @@
     return _TOP_PRIORITY if is_down else step.job.queue.priority
 
 
-def place_step(step, rooms, allowed, begin):
+def place_step(step, rooms, allowed, start_run):
     """Place as many tasks of a step as fit; of a gang, all or none.
 
     Parameters
@@ -53,7 +53,7 @@
     step : StepState
     rooms : Rooms
     allowed : container of str or None
-    begin : callable
+    start_run : callable
         Takes step, index, worker, and attempt or None; reserves the room and returns a
         Run.
 
@@ -62,7 +62,7 @@
     list of Run
     """
     if step.step.is_gang:
-        return _place_gang(step, rooms, allowed, begin)
+        return _place_gang(step, rooms, allowed, start_run)
     runs = []
     for index in sorted(step.waiting):
         room = rooms.choose(step, index, allowed)
@@ -72,11 +72,11 @@
                 # tasks fit.
                 continue
             break
-        runs.append(begin(step, index, room.worker, None))
+        runs.append(start_run(step, index, room.worker, None))
     return runs
 
 
-def _place_gang(step, rooms, allowed, begin):
+def _place_gang(step, rooms, allowed, start_run):
     if len(step.waiting) < len(step.tasks):
         return []
     racks = [None]
@@ -89,7 +89,7 @@
         if chosen is not None:
             attempt = max(task.attempt for task in step.tasks) + 1
             return [
-                begin(step, index, worker, attempt)
+                start_run(step, index, worker, attempt)
                 for index, worker in enumerate(chosen)
             ]
     return []
--- a/papayapick/placement/waves.py
+++ b/papayapick/placement/waves.py
@@ -20,7 +20,7 @@
 # Progress at which a lasting task serves requests; it stays there.
 _SERVING_PERCENT = 100
 # Maximum time for draining a machine, however much time the wave has: its empty room is
-# missing elsewhere, and a stop costs a task that takes longer little.
+# missing elsewhere, and a task that runs longer loses little by a stop.
 _MAX_DRAIN_SECONDS = 8.0
 # Time that the order, the list of machines and a renewal add to one upkeep.
 _ROUND_SECONDS = 1.5
