--- a/papayapick/placement/host_policies.py
+++ b/papayapick/placement/host_policies.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-__all__ = ["FirstFit", "HostPolicy", "LeastLoadedHost", "RandomFit", "BestFit"]
+__all__ = ["BestFit", "FirstFit", "HostPolicy", "LeastLoadedHost", "RandomFit"]
 
 
 class HostPolicy(Protocol):
