--- a/benchmarks/cancellations.py
+++ b/benchmarks/cancellations.py
@@ -80,9 +80,9 @@
             caller="manager",
         )
         began = time.perf_counter()
-        grant = self.shard.desk.request(wanted, 256)
+        grant = self.shard.slot_allocator.request(wanted, 256)
         spent = time.perf_counter() - began
-        self.shard.desk.release(grant.grant_id)
+        self.shard.slot_allocator.release(grant.grant_id)
         return spent
 
     def cancel_all(self, jobs):
@@ -98,7 +98,7 @@
                 ledger.add(name, "counts", "", SLOTS, 64)
                 ledger.open(name)
 
-        self.shard.desk.with_ledger(add)
+        self.shard.slot_allocator.with_ledger(add)
 
     def _fill(self, jobs):
         self.shard.hosts.add("worker-0", Amounts(4000, 8192))
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -20,7 +20,7 @@
 from papayapick.ownership.queries import ShardRow
 from papayapick.placement import PowerOfTwo
 from papayapick.placer.listing import HostListing
-from papayapick.placer.slots import SlotDesk
+from papayapick.placer.slots import SlotAllocator
 from papayapick.quotas import QuotaBook
 from papayapick.wire.messages import SlotRequest
 
@@ -96,7 +96,7 @@
 
 def _slots():
     for count in (24, 100, 1000):
-        desk = SlotDesk(
+        desk = SlotAllocator(
             "hobart-a.0",
             1,
             SlotLedger(),
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -18,7 +18,7 @@
 from papayapick.exceptions import PapayapickError
 from papayapick.ledger import SlotLedger
 from papayapick.placement import HealthAware, InstanceHealth, LeastLoaded
-from papayapick.placer.slots import SlotDesk
+from papayapick.placer.slots import SlotAllocator
 from papayapick.wire.messages import SlotGrant, SlotRequest
 
 SEED = 20261202
@@ -82,7 +82,7 @@
 def deadline_desk(clock):
     """Return the desk that the placers use."""
     policy = HealthAware(InstanceHealth(clock), random.Random(SEED))
-    return SlotDesk("a.0", 1, _ledger(), policy, clock, random.Random(SEED))
+    return SlotAllocator("a.0", 1, _ledger(), policy, clock, random.Random(SEED))
 
 
 def fifo_desk(clock):
--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -29,7 +29,7 @@
     RandomInstance,
     RoundRobin,
 )
-from papayapick.placer.slots import SlotDesk
+from papayapick.placer.slots import SlotAllocator
 from papayapick.routing import SlotClient
 from papayapick.wire import PeerRefused, PeerUnreachable
 from papayapick.wire.messages import ShardSummary
@@ -185,7 +185,7 @@
         ledger = SlotLedger()
         draw = random.Random(self.draw.random())
         policy = build(self.clock, draw)
-        desk = SlotDesk(f"{zone}.0", 1, ledger, policy, self.clock, draw)
+        desk = SlotAllocator(f"{zone}.0", 1, ledger, policy, self.clock, draw)
         for number in range(INSTANCES):
             name = f"{zone}-{number}"
             ledger.add(name, "counts", name, SLOTS, 64)
--- a/papayapick/placer/explanations.py
+++ b/papayapick/placer/explanations.py
@@ -79,7 +79,7 @@
 def _shortage(shard, item):
     if item.accepted.job:
         return [_job_shortage(shard, item.accepted.job), *_turn(shard, item)]
-    loads = {load.service: load for load in shard.desk.loads()}
+    loads = {load.service: load for load in shard.slot_allocator.loads()}
     load = loads.get(item.accepted.name)
     if load is None:
         text = f"{shard.name} has no instance; another shard is asked for a slot"
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -201,7 +201,7 @@
         policy = self._process.watcher.bundle.services.get(wanted.service)
         limit = policy.waiting_limit if policy else 0
         with self._process.metrics.decision_seconds.time():
-            granted = shard.desk.request(wanted, limit)
+            granted = shard.slot_allocator.request(wanted, limit)
         if isinstance(granted, Future):
             self._has_queued.set()
         return granted
@@ -241,7 +241,7 @@
     def _release(self, released):
         shard = self._owner.get(released.shard)
         if shard is not None and shard.epoch == released.epoch:
-            shard.desk.release(
+            shard.slot_allocator.release(
                 released.grant_id, released.outcome, released.run_microseconds / 1e6
             )
 
@@ -250,8 +250,8 @@
         self._process.clock.wait(self._has_queued, _IDLE_SECONDS)
         self._has_queued.clear()
         for shard in self.shards:
-            shard.desk.expire()
-            if any(load.waiting for load in shard.desk.loads()):
+            shard.slot_allocator.expire()
+            if any(load.waiting for load in shard.slot_allocator.loads()):
                 self._has_queued.set()
 
     def _answer_overdue(self):
--- a/papayapick/placer/shards.py
+++ b/papayapick/placer/shards.py
@@ -6,7 +6,7 @@
 from papayapick.ownership import OwnershipUnconfirmed
 from papayapick.placement import FailureBook, HealthAware, InstanceHealth, JobQueue
 from papayapick.placer.exceptions import ShardClosed
-from papayapick.placer.slots import SlotDesk
+from papayapick.placer.slots import SlotAllocator
 from papayapick.wire.messages import ShardSummary
 
 __all__ = ["OUTCOME_RETENTION_SECONDS", "Shard"]
@@ -36,7 +36,6 @@
         "_objects",
         "_pauses",
         "book",
-        "desk",
         "entries",
         "estimates",
         "failures",
@@ -45,6 +44,7 @@
         "jobs",
         "journal",
         "row",
+        "slot_allocator",
     )
 
     def __init__(self, row, process, journal_bucket, on_fenced):
@@ -53,7 +53,7 @@
         self.jobs = JobQueue(self.hosts)
         self.failures = FailureBook(self.hosts)
         self.estimates = ObservedQuantile(self.hosts)
-        self.desk = SlotDesk(
+        self.slot_allocator = SlotAllocator(
             row.shard,
             row.epoch,
             SlotLedger(),
@@ -124,13 +124,13 @@
     def close(self):
         """Take no more work, refuse what waits and end the journal."""
         self._is_closed = True
-        self.desk.refuse_all(ShardClosed(shard=self.name, retry_after=0.05))
+        self.slot_allocator.refuse_all(ShardClosed(shard=self.name, retry_after=0.05))
         self.journal.close()
 
     def stop_admission(self):
         """Take no new work; what runs goes on to its end."""
         self._is_closed = True
-        self.desk.refuse_all(ShardClosed(shard=self.name, retry_after=0.05))
+        self.slot_allocator.refuse_all(ShardClosed(shard=self.name, retry_after=0.05))
 
     def resume_admission(self):
         """Take work again: the shard could not be given away."""
@@ -139,7 +139,9 @@
 
     def summary(self):
         """Return what peers are told of this shard."""
-        return ShardSummary(shard=self.name, epoch=self.epoch, loads=self.desk.loads())
+        return ShardSummary(
+            shard=self.name, epoch=self.epoch, loads=self.slot_allocator.loads()
+        )
 
     def add_worker(self, entry):
         """Add a closed worker of the live list."""
@@ -149,7 +151,7 @@
     def add_instance(self, entry):
         """Add a closed instance of the live list."""
         self.entries[entry.name] = entry
-        self.desk.with_ledger(
+        self.slot_allocator.with_ledger(
             lambda ledger: ledger.add(
                 entry.name,
                 entry.service,
--- a/papayapick/placer/slots.py
+++ b/papayapick/placer/slots.py
@@ -12,13 +12,13 @@
 from papayapick.placer.waiting import Waiting
 from papayapick.wire.messages import ServiceLoad, SlotGrant
 
-__all__ = ["SlotDesk"]
+__all__ = ["SlotAllocator"]
 
 _GRANT_MARGIN = 1.0
 _DONE, _LEAVING, _UNKNOWN = "done", "leaving", "unknown"
 
 
-class SlotDesk:
+class SlotAllocator:
     """Give out the slots of one shard.
 
     A slot counts as taken until there is proof of its end: a release after a
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -76,13 +76,13 @@
 
     def reconcile(self, shard):
         """Ask backend servers about grants past their upper bound."""
-        for instance in shard.desk.doubtful():
+        for instance in shard.slot_allocator.doubtful():
             entry = shard.entries[instance]
             try:
                 running = self._instances.running(entry.url, shard.epoch)
             except PlatformError:
                 continue
-            shard.desk.reconcile(instance, running)
+            shard.slot_allocator.reconcile(instance, running)
 
     def _close_unlisted(self, shard, listed):
         # A host that went without a word is dropped from the list; what was
@@ -103,14 +103,16 @@
     def _is_open(shard, entry):
         if entry.kind == WORKER:
             return shard.hosts.is_open(entry.name)
-        return shard.desk.with_ledger(lambda ledger: ledger.is_open(entry.name))
+        return shard.slot_allocator.with_ledger(
+            lambda ledger: ledger.is_open(entry.name)
+        )
 
     @staticmethod
     def _close(shard, entry):
         if entry.kind == WORKER:
             shard.hosts.close(entry.name)
         else:
-            shard.desk.with_ledger(lambda ledger: ledger.close(entry.name))
+            shard.slot_allocator.with_ledger(lambda ledger: ledger.close(entry.name))
 
     def _open(self, shard, entry):
         try:
@@ -134,6 +136,6 @@
 
     def _open_instance(self, shard, entry):
         running = self._instances.running(entry.url, shard.epoch, must_stay=True)
-        shard.desk.restore(entry.name, running)
-        shard.desk.with_ledger(lambda ledger: ledger.open(entry.name))
-        shard.desk.serve_waiting()
+        shard.slot_allocator.restore(entry.name, running)
+        shard.slot_allocator.with_ledger(lambda ledger: ledger.open(entry.name))
+        shard.slot_allocator.serve_waiting()
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -140,11 +140,11 @@
         )
         if shard.is_closed:
             raise NoRoute(service=policy.name)
-        granted = shard.desk.request(wanted, 0)
+        granted = shard.slot_allocator.request(wanted, 0)
         return Grant(granted, None, self._life.clock.monotonic() + 1e6)
 
     def release(self, grant, outcome, seconds):
-        self._life.shard.desk.release(grant.granted.grant_id)
+        self._life.shard.slot_allocator.release(grant.granted.grant_id)
 
 
 class Cell:
--- a/tests/failures/test_takeover.py
+++ b/tests/failures/test_takeover.py
@@ -170,5 +170,7 @@
     standin.running.update({f"r{number}": 1 for number in range(8)})
     first.end()
     life = cell.start("placer-2")
-    busy = life.shard.desk.with_ledger(lambda ledger: ledger.busy(instance.name))
+    busy = life.shard.slot_allocator.with_ledger(
+        lambda ledger: ledger.busy(instance.name)
+    )
     assert busy == 8
--- a/tests/management/test_request.py
+++ b/tests/management/test_request.py
@@ -109,7 +109,7 @@
         self.is_closed = closed
         self.needs_confirmation = unconfirmed
         self.journal = FakeJournal(journal)
-        self.desk = FakeDesk(*loads)
+        self.slot_allocator = FakeDesk(*loads)
         self.hosts = HostLedger()
         self.hosts.add("w1", Amounts(16000, 65536))
         self.hosts.open("w1")
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -121,9 +121,9 @@
     while cell.platform.instances.state("counts-1", "first")[0] != 200:
         threading.Event().wait(0.005)
     newer = cell.take_over("placer-b")
-    assert newer.desk.held() == 1
+    assert newer.slot_allocator.held() == 1
     with pytest.raises(WaitOver):
-        newer.desk.request(
+        newer.slot_allocator.request(
             SlotRequest(service="counts", wait_milliseconds=0, run_milliseconds=10), 8
         )
     cell.platform.board.clear("counts-1")
@@ -140,8 +140,8 @@
         listed, cell.entries = cell.entries, []
         cell.refresh(shard)
         assert not shard.hosts.is_open("worker-1")
-        assert shard.desk.loads()[0].free_slots == 0
+        assert shard.slot_allocator.loads()[0].free_slots == 0
         cell.entries = listed
         cell.refresh(shard)
         assert shard.hosts.is_open("worker-1")
-        assert shard.desk.loads()[0].free_slots == 1
+        assert shard.slot_allocator.loads()[0].free_slots == 1
--- a/tests/placer/test_slots.py
+++ b/tests/placer/test_slots.py
@@ -8,7 +8,7 @@
 from papayapick.ledger import SlotLedger
 from papayapick.placement import HealthAware, InstanceHealth
 from papayapick.placer.exceptions import WaitingFull, WaitOver, WaitTooLong
-from papayapick.placer.slots import SlotDesk
+from papayapick.placer.slots import SlotAllocator
 from papayapick.wire.messages import SlotGrant, SlotRequest
 
 SERVICE = "counts"
@@ -19,7 +19,7 @@
         self.clock = ManualClock()
         self.ledger = SlotLedger()
         policy = HealthAware(InstanceHealth(self.clock), random.Random(1))
-        self.desk = SlotDesk(
+        self.desk = SlotAllocator(
             "a.0", 1, self.ledger, policy, self.clock, random.Random(1)
         )
         for number in range(instances):
--- a/tests/placer/test_slots_leaving.py
+++ b/tests/placer/test_slots_leaving.py
@@ -12,7 +12,7 @@
 from papayapick.ownership import shard_of
 from papayapick.placement import HealthAware, InstanceHealth
 from papayapick.placer.exceptions import WaitOver
-from papayapick.placer.slots import SlotDesk
+from papayapick.placer.slots import SlotAllocator
 from papayapick.placer.takeover import HostKeeper
 from papayapick.wire.messages import SlotRequest
 
@@ -44,11 +44,11 @@
     def __init__(self, clock):
         self.entries = {}
         policy = HealthAware(InstanceHealth(clock), random.Random(1))
-        self.desk = SlotDesk(self.name, 1, SlotLedger(), policy, clock)
+        self.slot_allocator = SlotAllocator(self.name, 1, SlotLedger(), policy, clock)
 
     def add_instance(self, entry):
         self.entries[entry.name] = entry
-        self.desk.with_ledger(
+        self.slot_allocator.with_ledger(
             lambda ledger: ledger.add(entry.name, "counts", entry.url, 8, 64)
         )
 
@@ -81,9 +81,11 @@
             run_milliseconds=1000,
             caller="",
         )
-        grant = self.shard.desk.request(wanted, 0)
+        grant = self.shard.slot_allocator.request(wanted, 0)
         said = grant.instance in self.instances.leaving and outcome == "done"
-        self.shard.desk.release(grant.grant_id, "leaving" if said else outcome, 0.01)
+        self.shard.slot_allocator.release(
+            grant.grant_id, "leaving" if said else outcome, 0.01
+        )
         return grant.instance
 
     def seconds_with_new_work(self, name, seconds=10):
