--- a/benchmarks/cancellations.py
+++ b/benchmarks/cancellations.py
@@ -22,7 +22,7 @@
 from papayapick.ownership.queries import ShardRow
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.shards import Shard
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from papayapick.wire.messages import SlotRequest, Submit
 from tests.placer.jobcells import JobCell
 from tests.standins import MemoryObjects, MemoryTable
@@ -58,7 +58,7 @@
         self.table.rows[row.key] = Row(row.key, {}, 1)
         bucket = TokenBucket(WRITES_PER_SECOND, WRITES_PER_SECOND, self.clock)
         self.shard = Shard(row, self.process, bucket, lambda shard: None)
-        self.desk = WorkDesk(self.process)
+        self.desk = WorkDispatcher(self.process)
         self.runner = JobRunner(self.process, WorkerClient(None), self.desk)
         self.executor.submit(self.shard.journal.run)
         self._add_instances()
--- a/papayapick/placer/endings.py
+++ b/papayapick/placer/endings.py
@@ -6,12 +6,12 @@
 __all__ = ["append_ended"]
 
 
-def append_ended(desk, shard, item, ended):
+def append_ended(dispatcher, shard, item, ended):
     """Journal the end of a request or job, then answer those who wait for it.
 
     Parameters
     ----------
-    desk : WorkDesk
+    dispatcher : WorkDesk
     shard : Shard
     item : WorkItem
     ended : Ended
@@ -21,15 +21,15 @@
     except JournalError as error:
         # A newer owner settles it, from the start that is journaled or from its
         # workers; until then this process can't tell.
-        desk.finish_with_error(item, OutcomeUnsettled(cause=error.code))
+        dispatcher.finish_with_error(item, OutcomeUnsettled(cause=error.code))
         return
 
     def settled(done):
         # An outcome whose write was lost is written again: the work holds no room any
         # more, and nothing else would end it.
         if done.result():
-            desk.finish(item)
+            dispatcher.finish(item)
         elif not shard.is_closed:
-            append_ended(desk, shard, item, ended)
+            append_ended(dispatcher, shard, item, ended)
 
     entry.settled.add_done_callback(settled)
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -30,14 +30,14 @@
     ----------
     process : Process
     workers : WorkerClient
-    desk : WorkDesk
+    dispatcher : WorkDesk
     """
 
-    __slots__ = ("_desk", "_members", "_process")
+    __slots__ = ("_dispatcher", "_members", "_process")
 
-    def __init__(self, process, workers, desk):
+    def __init__(self, process, workers, dispatcher):
         self._process = process
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._members = JobMembers(process, workers)
 
     def run(self, shard, item):
@@ -125,7 +125,7 @@
             detail=detail,
         )
         shard.failures.forget(item.request_id)
-        append_ended(self._desk, shard, item, ended)
+        append_ended(self._dispatcher, shard, item, ended)
 
     def _job(self, shard, item):
         policy = self._process.watcher.bundle.jobs.get(item.accepted.name)
@@ -171,7 +171,7 @@
         except JournalUnsettled:
             shard.jobs.finish(item.request_id)
             entry.settled.add_done_callback(
-                lambda done: self._desk.enqueue(shard, item, _RETRY_SECONDS)
+                lambda done: self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
             )
             return False
         except JournalError:
@@ -185,7 +185,7 @@
 
     def _put_back(self, shard, item):
         shard.jobs.finish(item.request_id)
-        self._desk.enqueue(shard, item, _RETRY_SECONDS)
+        self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
 
     def _start_members(self, shard, item, running):
         # From here on a member may run, whatever becomes of the others.
@@ -268,7 +268,7 @@
         elif shard.failures.fails_everywhere(item.request_id):
             self.end(shard, item, FAILED, "work.fails-everywhere")
         else:
-            self._desk.enqueue(shard, item, _RETRY_SECONDS)
+            self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
 
 
 def _text_of(body):
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -20,7 +20,7 @@
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.runners import WorkLoop
 from papayapick.placer.takeover import HostKeeper
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from papayapick.routing import SlotClient
 from papayapick.wire.messages import (
     Handover,
@@ -62,7 +62,7 @@
         "_owner",
         "_process",
         "_requests",
-        "_work",
+        "_dispatcher",
     )
 
     def __init__(self, settings, clock=None):
@@ -77,15 +77,15 @@
         workers, instances = WorkerClient(pool), InstanceClient(pool)
         self._listing = HostListing()
         self._keeper = HostKeeper(workers, instances, process.executor, self._listing)
-        self._work = WorkDesk(process)
+        self._dispatcher = WorkDispatcher(process)
         self._owner = ShardOwner(
-            process, self._keeper, bucket, self._resume, self._work.leave
+            process, self._keeper, bucket, self._resume, self._dispatcher.leave
         )
-        self._loop = WorkLoop(process, self._work, self._runner)
+        self._loop = WorkLoop(process, self._dispatcher, self._runner)
         self._handover = ShardHandover(process, self._owner, self._loop.in_hand)
         slots = SlotClient.from_process(process)
-        self._requests = RequestRunner(process, slots, instances, self._work)
-        self._jobs = JobRunner(process, workers, self._work)
+        self._requests = RequestRunner(process, slots, instances, self._dispatcher)
+        self._jobs = JobRunner(process, workers, self._dispatcher)
         process.metrics.owned_shards.set_function(lambda: len(self.shards))
         self._health = HealthServer(process, self.is_ready)
 
@@ -163,7 +163,7 @@
             if isinstance(payload, Submit):
                 return self._submit(shard, payload)
             if isinstance(payload, WorkCancel):
-                return self._work.cancel(shard, payload.request_id)
+                return self._dispatcher.cancel(shard, payload.request_id)
             if isinstance(payload, WorkQuery):
                 return self._query(shard, payload)
         return None
@@ -192,7 +192,7 @@
         for item in shard.book.items:
             runner = self._runner(item)
             if item.state == "waiting":
-                self._work.enqueue(shard, item)
+                self._dispatcher.enqueue(shard, item)
             elif item.state == "running":
                 runner.recover(shard, item)
 
@@ -214,7 +214,7 @@
             self._check_holdable(shard, wanted)
         else:
             policy = bundle.services[wanted.name]
-        return self._work.submit(shard, wanted, policy)
+        return self._dispatcher.submit(shard, wanted, policy)
 
     def _check_holdable(self, shard, wanted):
         job = json.loads(wanted.job)
@@ -232,7 +232,7 @@
             raise JobNeverFits(shard=shard.name, members=members, demand=demand)
 
     def _query(self, shard, query):
-        item = self._work.find(shard, query.request_id)
+        item = self._dispatcher.find(shard, query.request_id)
         state = state_of(item, self._process.objects)
         if query.explain:
             state.detail = reasons_as_text(explain(shard, item))
@@ -255,8 +255,8 @@
                 self._has_queued.set()
 
     def _answer_overdue(self):
-        self._process.clock.wait(self._work.has_waiters, _IDLE_SECONDS)
-        self._work.answer_overdue()
+        self._process.clock.wait(self._dispatcher.has_waiters, _IDLE_SECONDS)
+        self._dispatcher.answer_overdue()
 
     def _renew(self):
         for shard in self.shards:
--- a/papayapick/placer/requests.py
+++ b/papayapick/placer/requests.py
@@ -37,16 +37,16 @@
     process : Process
     slots : SlotClient
     instances : InstanceClient
-    desk : WorkDesk
+    dispatcher : WorkDesk
     """
 
-    __slots__ = ("_desk", "_instances", "_process", "_slots")
+    __slots__ = ("_dispatcher", "_instances", "_process", "_slots")
 
-    def __init__(self, process, slots, instances, desk):
+    def __init__(self, process, slots, instances, dispatcher):
         self._process = process
         self._slots = slots
         self._instances = instances
-        self._desk = desk
+        self._dispatcher = dispatcher
 
     def run(self, shard, item):
         """Try a request once; end it, or put it back with a delay."""
@@ -80,7 +80,7 @@
             policy = self._process.watcher.bundle.services.get(item.accepted.name)
             bound = policy.run_seconds if policy else 0.0
             rest = item.started.time + bound - self._process.clock.time()
-            self._desk.enqueue(shard, item, max(0.0, rest))
+            self._dispatcher.enqueue(shard, item, max(0.0, rest))
         else:
             self.end(shard, item, UNKNOWN, detail="work.owner-lost")
 
@@ -101,7 +101,7 @@
             result_object=name,
             detail=detail,
         )
-        append_ended(self._desk, shard, item, ended)
+        append_ended(self._dispatcher, shard, item, ended)
 
     def _acquire(self, item, policy):
         rest = item.accepted.deadline - self._process.clock.time()
@@ -196,7 +196,7 @@
             # It is refused at its deadline, not at the try after it.
             rest = item.accepted.deadline - self._process.clock.time()
             delay = min(delay, max(0.0, rest))
-        self._desk.enqueue(shard, item, max(least, delay))
+        self._dispatcher.enqueue(shard, item, max(least, delay))
 
     def _keep(self, body):
         while True:
--- a/papayapick/placer/runners.py
+++ b/papayapick/placer/runners.py
@@ -16,21 +16,21 @@
 
 
 class WorkLoop:
-    """Take items from the desk and run them, one at a time in each task.
+    """Take items from the dispatcher and run them, one at a time in each task.
 
     Parameters
     ----------
     process : Process
-    desk : WorkDesk
+    dispatcher : WorkDesk
     runner_of : callable
         Returns the runner of an item.
     """
 
-    __slots__ = ("_desk", "_in_hand", "_lock", "_process", "_runner_of")
+    __slots__ = ("_dispatcher", "_in_hand", "_lock", "_process", "_runner_of")
 
-    def __init__(self, process, desk, runner_of):
+    def __init__(self, process, dispatcher, runner_of):
         self._process = process
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._runner_of = runner_of
         self._in_hand = collections.Counter()
         self._lock = threading.Lock()
@@ -42,7 +42,7 @@
 
     def step(self):
         """Run the next item that comes due; the step of a task."""
-        found = self._desk.take(_TAKE_SECONDS)
+        found = self._dispatcher.take(_TAKE_SECONDS)
         if found is not None:
             self.run_one(*found)
 
@@ -60,14 +60,14 @@
         if shard.is_leaving and not shard.is_closed:
             # The next owner starts it; here it is kept for the case that the
             # shard stays after all.
-            self._desk.enqueue(shard, item, _LEAVING_SECONDS)
+            self._dispatcher.enqueue(shard, item, _LEAVING_SECONDS)
             return
         try:
             self._runner_of(item).run(shard, item)
         except (PlatformError, JournalError) as error:
             _LOG.info("run put off", extra={"error": str(error)})
-            self._desk.enqueue(shard, item, _RETRY_SECONDS)
+            self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
         except Exception:
             # A fault of ours: the item would be lost, and its caller with it.
             _LOG.exception("run failed", extra={"request": item.request_id})
-            self._desk.enqueue(shard, item, _RETRY_SECONDS)
+            self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
--- a/papayapick/placer/work.py
+++ b/papayapick/placer/work.py
@@ -13,7 +13,7 @@
 from papayapick.placer.exceptions import ResultUnreadable, WorkMoved
 from papayapick.placer.payloads import inline_or_object, state_of
 
-__all__ = ["WorkDesk"]
+__all__ = ["WorkDispatcher"]
 
 _MOVED_RETRY_SECONDS = 0.05
 
@@ -28,7 +28,7 @@
         self.item = item
 
 
-class WorkDesk:
+class WorkDispatcher:
     """Take on durable work and hand it to the runners by deadline.
 
     Parameters
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -27,7 +27,7 @@
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.runners import WorkLoop
 from papayapick.placer.takeover import HostKeeper
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from papayapick.routing import Grant, NoRoute
 from papayapick.wire.messages import SlotRequest, Submit
 from tests.fakes.pool import InProcessPool
@@ -200,7 +200,7 @@
         self.keeper = keeper = HostKeeper(
             WorkerClient(self.pool), instances, process.executor
         )
-        self.desk = WorkDesk(process)
+        self.desk = WorkDispatcher(process)
         slots = DeskSlots(self)
         self.runner = RequestRunner(process, slots, instances, self.desk)
         self.loop = WorkLoop(process, self.desk, lambda item: self.runner)
--- a/tests/ownership/test_leases.py
+++ b/tests/ownership/test_leases.py
@@ -4,7 +4,7 @@
 from papayapick.journal import Accepted
 from papayapick.journal.queries import read_journal
 from papayapick.placer.jobs import JobRunner
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from tests.fakes.pool import InProcessPool
 from tests.ownership.parts import CAPACITY, SmallCell
 
@@ -25,7 +25,7 @@
         self.cell = cell
         self.shard = cell.take_over(name)
         process = cell.process()
-        self.desk = WorkDesk(process)
+        self.desk = WorkDispatcher(process)
         workers = WorkerClient(pool) if pool else cell.workers
         self.runner = JobRunner(process, workers, self.desk)
 
--- a/tests/placer/jobcells.py
+++ b/tests/placer/jobcells.py
@@ -16,7 +16,7 @@
 from papayapick.ownership.queries import ShardRow
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.shards import Shard
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from papayapick.wire.messages import Submit
 from tests.standins import MemoryObjects, MemoryTable, WorkersStandin
 
@@ -79,9 +79,9 @@
             table=self.table,
             watcher=SimpleNamespace(bundle=bundle),
         )
-        self.desk = WorkDesk(self.process)
+        self.dispatcher = WorkDispatcher(self.process)
         self.client = WorkerClient(self.pool)
-        self.runner = JobRunner(self.process, self.client, self.desk)
+        self.runner = JobRunner(self.process, self.client, self.dispatcher)
         row = ShardRow("zone-a.0", "host-1", 1, 1)
         self.table.rows[row.key] = Row(row.key, {}, 1)
         bucket = TokenBucket(1e9, 1e9, self.clock)
@@ -111,12 +111,12 @@
             job=body,
         )
         policy = self.process.watcher.bundle.jobs[kind]
-        return self.desk.submit(self.shard, wanted, policy).result()
+        return self.dispatcher.submit(self.shard, wanted, policy).result()
 
     def step(self, seconds=0.5):
         """Let time pass, then do what the placer's loops do."""
         self.clock.advance(seconds)
-        while (found := self.desk.take(0)) is not None:
+        while (found := self.dispatcher.take(0)) is not None:
             self.runner.run(*found)
         self.runner.renew(self.shard)
 
--- a/tests/placer/test_jobs.py
+++ b/tests/placer/test_jobs.py
@@ -136,7 +136,7 @@
     cell.step()
     cell.submit("b", processors=4000, work={"run_seconds": 5})
     cell.step()
-    assert cell.desk.cancel(cell.shard, "b").result().outcome == "not_run"
+    assert cell.dispatcher.cancel(cell.shard, "b").result().outcome == "not_run"
     cell.run_for(10)
     assert cell.ended("b") == ("not_run", "work.cancelled")
     assert cell.item("b").attempts == 0
@@ -225,7 +225,7 @@
     cell.submit("small", processors=4000, work={"run_seconds": 1})
     cell.run_for(3)
     assert "small" not in cell.running()
-    cell.desk.cancel(cell.shard, "large")
+    cell.dispatcher.cancel(cell.shard, "large")
     cell.run_for(3)
     assert cell.ended("small") == ("done", "")
 
--- a/tests/placer/test_jobs_cancelled.py
+++ b/tests/placer/test_jobs_cancelled.py
@@ -79,7 +79,7 @@
     cell.step()
     cell.shard.jobs._policy.passes = 0
     for number in range(300):
-        answer = cell.desk.cancel(cell.shard, f"job-{number}")
+        answer = cell.dispatcher.cancel(cell.shard, f"job-{number}")
         assert answer.result().outcome == "not_run"
     cell.step()
     assert len(cell.shard.jobs) == 0
--- a/tests/spec/test_journal_replay.py
+++ b/tests/spec/test_journal_replay.py
@@ -17,7 +17,7 @@
 from papayapick.ownership import claim, read_shard
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.shards import Shard
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from papayapick.wire.messages import SlotGrant, Submit
 from tests.fakes.scripted import DONE_UNANSWERED, LATE, ScriptedTable
 from tests.standins.store import MemoryObjects
@@ -78,7 +78,7 @@
         bucket = TokenBucket(1000, 1000, self.clock)
         self.shard = Shard(row, self.process, bucket, lambda shard: shard.close())
         self.shard.use_journal(read_journal(table, self.process.objects, SHARD))
-        self.desk = WorkDesk(self.process)
+        self.desk = WorkDispatcher(self.process)
         self.backend = Backend(self)
         self.runner = RequestRunner(self.process, Slots(), self.backend, self.desk)
 
