--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -28,7 +28,7 @@
     Parameters
     ----------
     process : Process
-    keeper : HostKeeper
+    host_reconciler : HostKeeper
     bucket : TokenBucket
         Writes that the journals of this process may make.
     on_taken : callable
@@ -41,7 +41,7 @@
         "_bucket",
         "_claimed",
         "_gate",
-        "_keeper",
+        "_host_reconciler",
         "_lock",
         "_on_lost",
         "_on_taken",
@@ -50,9 +50,9 @@
         "_taking",
     )
 
-    def __init__(self, process, keeper, bucket, on_taken, on_lost):
+    def __init__(self, process, host_reconciler, bucket, on_taken, on_lost):
         self._process = process
-        self._keeper = keeper
+        self._host_reconciler = host_reconciler
         self._bucket = bucket
         self._on_taken = on_taken
         self._on_lost = on_lost
@@ -141,7 +141,9 @@
             if serving is not None:
                 serving.set_result(None)
         if shard is not None:
-            self._keeper.refresh(shard, self._process.peers.entries, self._count())
+            self._host_reconciler.refresh(
+                shard, self._process.peers.entries, self._count()
+            )
             self._on_taken(shard)
         return shard
 
@@ -165,7 +167,7 @@
             return None
         shard = Shard(taken, process, self._bucket, self.lose)
         load_work(shard, process.table, process.objects)
-        self._keeper.note(shard, process.peers.entries, self._count())
+        self._host_reconciler.add_listed(shard, process.peers.entries, self._count())
         with self._lock:
             self._shards[shard.name] = shard
             self._claimed.pop(shard.name, None)
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -19,7 +19,7 @@
 from papayapick.placer.payloads import state_of
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.runners import WorkLoop
-from papayapick.placer.takeover import HostKeeper
+from papayapick.placer.takeover import HostReconciler
 from papayapick.placer.work import WorkDispatcher
 from papayapick.routing import SlotClient
 from papayapick.wire.messages import (
@@ -56,7 +56,7 @@
         "_has_queued",
         "_health",
         "_jobs",
-        "_keeper",
+        "_host_reconciler",
         "_listing",
         "_loop",
         "_owner",
@@ -76,10 +76,12 @@
         pool = process.platform_pool
         workers, instances = WorkerClient(pool), InstanceClient(pool)
         self._listing = HostListing()
-        self._keeper = HostKeeper(workers, instances, process.executor, self._listing)
+        self._host_reconciler = HostReconciler(
+            workers, instances, process.executor, self._listing
+        )
         self._dispatcher = WorkDispatcher(process)
         self._owner = ShardOwner(
-            process, self._keeper, bucket, self._resume, self._dispatcher.leave
+            process, self._host_reconciler, bucket, self._resume, self._dispatcher.leave
         )
         self._loop = WorkLoop(process, self._dispatcher, self._runner)
         self._handover = ShardHandover(process, self._owner, self._loop.in_hand)
@@ -181,8 +183,8 @@
             return
         count = self._shards_per_zone()
         for shard in self.shards:
-            self._keeper.refresh(shard, process.peers.entries, count)
-            self._keeper.reconcile(shard)
+            self._host_reconciler.refresh(shard, process.peers.entries, count)
+            self._host_reconciler.reconcile_grants(shard)
 
     def _shards_per_zone(self):
         document = self._process.watcher.bundle.document
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -7,7 +7,7 @@
 from papayapick.observability import get_logger
 from papayapick.placer.listing import HostListing
 
-__all__ = ["HostKeeper", "load_work"]
+__all__ = ["HostReconciler", "load_work"]
 
 _LOG = get_logger(__name__)
 
@@ -17,7 +17,7 @@
     shard.use_journal(read_journal(table, objects, shard.name))
 
 
-class HostKeeper:
+class HostReconciler:
     """Keep the hosts of owned shards in step with the list and the hosts' word.
 
     A host is opened only after it has been fenced at the shard's epoch and has
@@ -50,7 +50,7 @@
         shards_per_zone : int
         """
         to_fence = []
-        listed = self.note(shard, entries, shards_per_zone)
+        listed = self.add_listed(shard, entries, shards_per_zone)
         self._close_unlisted(shard, listed)
         for entry in listed:
             if entry.is_live and not self._is_open(shard, entry):
@@ -63,7 +63,7 @@
         for future in futures:
             future.result()
 
-    def note(self, shard, entries, shards_per_zone):
+    def add_listed(self, shard, entries, shards_per_zone):
         """Add the hosts of a shard, closed, and return their entries.
 
         Done before the shard is served: a request for a service whose hosts
@@ -71,10 +71,10 @@
         """
         found = self._listing.of_shard(shard.name, entries, shards_per_zone)
         for entry in found:
-            self._note(shard, entry)
+            self._add(shard, entry)
         return found
 
-    def reconcile(self, shard):
+    def reconcile_grants(self, shard):
         """Ask backend servers about grants past their upper bound."""
         for instance in shard.slot_allocator.doubtful():
             entry = shard.entries[instance]
@@ -93,7 +93,7 @@
                 self._close(shard, entry)
 
     @staticmethod
-    def _note(shard, entry):
+    def _add(shard, entry):
         if entry.kind == WORKER:
             shard.add_worker(entry)
         else:
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -26,7 +26,7 @@
 from papayapick.placer.owners import ShardOwner
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.runners import WorkLoop
-from papayapick.placer.takeover import HostKeeper
+from papayapick.placer.takeover import HostReconciler
 from papayapick.placer.work import WorkDispatcher
 from papayapick.routing import Grant, NoRoute
 from papayapick.wire.messages import SlotRequest, Submit
@@ -197,7 +197,7 @@
             watcher=SimpleNamespace(bundle=cell.bundle, sequence=1),
         )
         self.instances = instances = InstanceClient(self.pool)
-        self.keeper = keeper = HostKeeper(
+        self.keeper = keeper = HostReconciler(
             WorkerClient(self.pool), instances, process.executor
         )
         self.desk = WorkDispatcher(process)
--- a/tests/ownership/parts.py
+++ b/tests/ownership/parts.py
@@ -13,7 +13,7 @@
 from papayapick.limits import PauseGuard, TokenBucket
 from papayapick.ownership import claim, read_shard
 from papayapick.placer.shards import Shard
-from papayapick.placer.takeover import HostKeeper
+from papayapick.placer.takeover import HostReconciler
 from tests.fakes.pool import InProcessPool
 from tests.standins.server import Platform
 
@@ -39,7 +39,7 @@
         self.instances = InstanceClient(pool)
         self.executor = ThreadPoolExecutor(4)
         self._shards = []
-        self.keeper = HostKeeper(self.workers, self.instances, self.executor)
+        self.keeper = HostReconciler(self.workers, self.instances, self.executor)
         self.entries = [
             *(_entry(name, "worker", CAPACITY) for name in workers),
             _entry("counts-1", "instance", {"slots": 1, "connections": 4}),
--- a/tests/placer/test_slots_leaving.py
+++ b/tests/placer/test_slots_leaving.py
@@ -13,7 +13,7 @@
 from papayapick.placement import HealthAware, InstanceHealth
 from papayapick.placer.exceptions import WaitOver
 from papayapick.placer.slots import SlotAllocator
-from papayapick.placer.takeover import HostKeeper
+from papayapick.placer.takeover import HostReconciler
 from papayapick.wire.messages import SlotRequest
 
 ZONE, SHARDS = "a", 1
@@ -36,7 +36,7 @@
 
 
 class FakeShard:
-    """As much of a shard as the keeper uses for instances."""
+    """As much of a shard as the reconciler uses for instances."""
 
     name = shard_of("i1", ZONE, SHARDS)
     epoch = 1
@@ -61,7 +61,7 @@
         self.instances = FakeInstances()
         self.shard = FakeShard(self.clock)
         self.executor = ThreadPoolExecutor(1)
-        self.keeper = HostKeeper(None, self.instances, self.executor)
+        self.reconciler = HostReconciler(None, self.instances, self.executor)
         self.states = dict.fromkeys(NAMES, "live")
         self.look()
 
@@ -70,7 +70,7 @@
             HostEntry(name, "instance", state, name, "south", ZONE, service="counts")
             for name, state in self.states.items()
         ]
-        self.keeper.refresh(self.shard, entries, SHARDS)
+        self.reconciler.refresh(self.shard, entries, SHARDS)
 
     def call(self, outcome="done"):
         wanted = SlotRequest(
