--- a/papayapick/placer/waiting.py
+++ b/papayapick/placer/fair_queue.py
@@ -4,7 +4,7 @@
 import itertools
 from collections import deque
 
-__all__ = ["DrainRate", "Waiting", "WaitingQueue"]
+__all__ = ["DrainRate", "QueuedRequest", "FairQueue"]
 
 _SMOOTHING = 0.05
 _LEAST_SAMPLES = 16
@@ -12,7 +12,7 @@
 _HOPELESS_FACTOR = 1.5
 
 
-class Waiting:
+class QueuedRequest:
     """Hold one request that waits for a slot.
 
     Parameters
@@ -36,7 +36,7 @@
         return self.wanted.caller or ""
 
 
-class WaitingQueue:
+class FairQueue:
     """Serve callers in turn, and each caller's requests by earliest deadline."""
 
     __slots__ = ("_callers", "_numbers", "_size", "_turns")
@@ -96,7 +96,7 @@
         self._forget_empty(len(expired))
         return expired
 
-    def remove_hopeless(self, now, rate):
+    def remove_unservable(self, now, rate):
         """Remove and return requests that the rate can't serve in their time.
 
         Parameters
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -8,8 +8,8 @@
 from papayapick.ledger import Amounts
 from papayapick.observability import get_logger
 from papayapick.placement import Place, RunningJob, WaitingJob
-from papayapick.placer.endings import append_ended
 from papayapick.placer.members import JobMembers, in_parallel
+from papayapick.placer.outcomes import journal_outcome
 
 __all__ = ["JobRunner"]
 
@@ -125,7 +125,7 @@
             detail=detail,
         )
         shard.failures.forget(item.request_id)
-        append_ended(self._dispatcher, shard, item, ended)
+        journal_outcome(self._dispatcher, shard, item, ended)
 
     def _job(self, shard, item):
         policy = self._process.watcher.bundle.jobs.get(item.accepted.name)
--- a/papayapick/placer/endings.py
+++ b/papayapick/placer/outcomes.py
@@ -3,10 +3,10 @@
 from papayapick.journal import JournalError
 from papayapick.placer.exceptions import OutcomeUnsettled
 
-__all__ = ["append_ended"]
+__all__ = ["journal_outcome"]
 
 
-def append_ended(dispatcher, shard, item, ended):
+def journal_outcome(dispatcher, shard, item, ended):
     """Journal the end of a request or job, then answer those who wait for it.
 
     Parameters
@@ -21,15 +21,15 @@
     except JournalError as error:
         # A newer owner settles it, from the start that is journaled or from its
         # workers; until then this process can't tell.
-        dispatcher.finish_with_error(item, OutcomeUnsettled(cause=error.code))
+        dispatcher.fail_waiters(item, OutcomeUnsettled(cause=error.code))
         return
 
     def settled(done):
         # An outcome whose write was lost is written again: the work holds no room any
         # more, and nothing else would end it.
         if done.result():
-            dispatcher.finish(item)
+            dispatcher.answer_waiters(item)
         elif not shard.is_closed:
-            append_ended(dispatcher, shard, item, ended)
+            journal_outcome(dispatcher, shard, item, ended)
 
     entry.settled.add_done_callback(settled)
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -81,7 +81,11 @@
         )
         self._dispatcher = WorkDispatcher(process)
         self._owner = ShardOwner(
-            process, self._host_reconciler, bucket, self._resume, self._dispatcher.leave
+            process,
+            self._host_reconciler,
+            bucket,
+            self._resume,
+            self._dispatcher.fail_shard_waiters,
         )
         self._loop = WorkLoop(process, self._dispatcher, self._runner)
         self._handover = ShardHandover(process, self._owner, self._loop.in_hand)
--- a/papayapick/placer/requests.py
+++ b/papayapick/placer/requests.py
@@ -9,7 +9,7 @@
 )
 from papayapick.clients.instances import is_leaving
 from papayapick.journal import Ended, JournalError, JournalUnsettled, Started
-from papayapick.placer.endings import append_ended
+from papayapick.placer.outcomes import journal_outcome
 from papayapick.placer.payloads import inline_or_object, load_inline_or_object
 from papayapick.routing import GrantExpired, RoutingError
 from papayapick.wire import WireError
@@ -101,7 +101,7 @@
             result_object=name,
             detail=detail,
         )
-        append_ended(self._dispatcher, shard, item, ended)
+        journal_outcome(self._dispatcher, shard, item, ended)
 
     def _acquire(self, item, policy):
         rest = item.accepted.deadline - self._process.clock.time()
--- a/papayapick/placer/lines.py
+++ b/papayapick/placer/service_queue.py
@@ -1,16 +1,16 @@
 """Decide who may wait for a slot of one service, and who is refused."""
 
 from papayapick.placer.exceptions import WaitingFull, WaitOver, WaitTooLong
-from papayapick.placer.waiting import DrainRate, WaitingQueue
+from papayapick.placer.fair_queue import DrainRate, FairQueue
 
-__all__ = ["ServiceLine"]
+__all__ = ["ServiceQueue"]
 
 _DEFAULT_RETRY_SECONDS = 0.5
 _LEAST_RETRY_SECONDS = 0.1
 _LONGEST_RETRY_SECONDS = 30.0
 
 
-class ServiceLine:
+class ServiceQueue:
     """Queue the requests for one service while their wait can end well.
 
     In all methods ``busy`` is the number of the service's slots in use.
@@ -26,7 +26,7 @@
     __slots__ = ("_drain", "_generator", "_name", "queue")
 
     def __init__(self, name, generator):
-        self.queue = WaitingQueue()
+        self.queue = FairQueue()
         self._name = name
         self._generator = generator
         self._drain = DrainRate()
@@ -83,12 +83,12 @@
         """Remove requests whose time is over; return futures and errors."""
         return self._wait_over(self.queue.remove_expired(now), now, busy)
 
-    def remove_hopeless(self, now, busy):
+    def remove_unservable(self, now, busy):
         """Remove requests whose time can't suffice; return futures and errors."""
         rate = self._drain.estimate(now, busy)
         if not rate:
             return []
-        return self._wait_over(self.queue.remove_hopeless(now, rate), now, busy)
+        return self._wait_over(self.queue.remove_unservable(now, rate), now, busy)
 
     def _wait_over(self, removed, now, busy):
         return [
--- a/papayapick/placer/slots.py
+++ b/papayapick/placer/slots.py
@@ -7,9 +7,9 @@
 
 from papayapick.ledger import LedgerError, ReservationUnknown
 from papayapick.placer.exceptions import ServiceUnknown
+from papayapick.placer.fair_queue import QueuedRequest
 from papayapick.placer.grants import HeldGrant, HeldGrants
-from papayapick.placer.lines import ServiceLine
-from papayapick.placer.waiting import Waiting
+from papayapick.placer.service_queue import ServiceQueue
 from papayapick.wire.messages import ServiceLoad, SlotGrant
 
 __all__ = ["SlotAllocator"]
@@ -91,7 +91,7 @@
             caller = wanted.caller or ""
             line.check_wait(caller, wait_seconds, now, busy)
             evicted = line.make_room(caller, waiting_limit, now, busy)
-            waiting = Waiting(Future(), now + wait_seconds, wanted)
+            waiting = QueuedRequest(Future(), now + wait_seconds, wanted)
             line.queue.add(waiting)
         _settle(evicted)
         return waiting.future
@@ -157,7 +157,7 @@
                     continue
                 busy = self._held.count(name)
                 refused += line.remove_expired(now, busy)
-                refused += line.remove_hopeless(now, busy)
+                refused += line.remove_unservable(now, busy)
         _settle(refused)
 
     def serve_waiting(self):
@@ -236,7 +236,7 @@
     def _line(self, name):
         found = self._lines.get(name)
         if found is None:
-            found = self._lines[name] = ServiceLine(name, self._generator)
+            found = self._lines[name] = ServiceQueue(name, self._generator)
         return found
 
     def _service_of(self, instance):
--- a/papayapick/placer/work.py
+++ b/papayapick/placer/work.py
@@ -171,12 +171,12 @@
                 self._condition.notify()
             return found
 
-    def finish(self, item):
+    def answer_waiters(self, item):
         """Answer all that wait for the end of an item."""
         for waiter in self._pop_waiters(item.request_id):
             self._tell(item, waiter.answer)
 
-    def finish_with_error(self, item, error):
+    def fail_waiters(self, item, error):
         """Answer all that wait with an error: the outcome is not journaled."""
         for waiter in self._pop_waiters(item.request_id):
             _fail(waiter.answer, error)
@@ -193,7 +193,7 @@
         for waiter in overdue:
             self._tell(waiter.item, waiter.answer)
 
-    def leave(self, shard):
+    def fail_shard_waiters(self, shard):
         """Answer all that wait for work of a shard that has another owner."""
         with self._lock:
             left = []
@@ -272,7 +272,7 @@
                 self._cancelling.pop(request_id, None)
             item = shard.book.get(request_id)
             if item.ended is not None:
-                self.finish(item)
+                self.answer_waiters(item)
 
         entry.settled.add_done_callback(settled)
         return entry.written
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -338,4 +338,4 @@
 
     def _left(self, shard):
         self._closed.append(shard)
-        self.desk.leave(shard)
+        self.desk.fail_shard_waiters(shard)
--- a/tests/placer/test_slots_durable.py
+++ b/tests/placer/test_slots_durable.py
@@ -59,7 +59,9 @@
         )
         self.shard = SimpleNamespace(is_closed=False, journal=FakeJournal(book))
         self.item = book.get("r1")
-        desk = SimpleNamespace(enqueue=lambda *found: None, finish=lambda item: None)
+        desk = SimpleNamespace(
+            enqueue=lambda *found: None, answer_waiters=lambda item: None
+        )
         self.runner = RequestRunner(process, self, self, desk)
 
     def acquire(self, policy, request_id, wait_seconds):
