--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -220,7 +220,7 @@
 
     def _reconcile(self):
         for desk in self.desks.values():
-            for name in desk.doubtful():
+            for name in desk.in_doubt_instances():
                 if self.faults.get(name) != "gone":
                     desk.reconcile(name, self.running[name])
 
--- a/papayapick/placer/grants.py
+++ b/papayapick/placer/grants.py
@@ -11,18 +11,18 @@
     instance, service, request_id : str
     granted_at : float
         Monotonic seconds.
-    doubtful_after : float
+    in_doubt_after : float
         Monotonic seconds after which the backend server is asked about it.
     """
 
-    __slots__ = ("doubtful_after", "granted_at", "instance", "request_id", "service")
+    __slots__ = ("in_doubt_after", "granted_at", "instance", "request_id", "service")
 
-    def __init__(self, instance, service, request_id, granted_at, doubtful_after):
+    def __init__(self, instance, service, request_id, granted_at, in_doubt_after):
         self.instance = instance
         self.service = service
         self.request_id = request_id
         self.granted_at = granted_at
-        self.doubtful_after = doubtful_after
+        self.in_doubt_after = in_doubt_after
 
 
 class HeldGrants:
@@ -62,12 +62,12 @@
         """Return the ids of the requests that hold slots of an instance."""
         return {held.request_id for held in self._at(instance).values()}
 
-    def doubtful_instances(self, now):
+    def in_doubt_instances(self, now):
         """Return the instances with a grant whose end is in doubt, sorted."""
         return sorted(
             name
             for name, grants in self._by_instance.items()
-            if any(held.doubtful_after <= now for held in grants.values())
+            if any(held.in_doubt_after <= now for held in grants.values())
         )
 
     def ended(self, instance, running, now):
@@ -87,7 +87,7 @@
         return [
             (grant_id, held)
             for grant_id, held in self._at(instance).items()
-            if held.doubtful_after <= now and held.request_id not in running
+            if held.in_doubt_after <= now and held.request_id not in running
         ]
 
     def _at(self, instance):
--- a/papayapick/placer/slots.py
+++ b/papayapick/placer/slots.py
@@ -121,7 +121,7 @@
                 # The live list lags; the backend server's own word does not.
                 self._ledger.close(held.instance)
             if outcome == _UNKNOWN:
-                held.doubtful_after = now
+                held.in_doubt_after = now
                 return
             self._free(grant_id, held, now)
             settled = self._serve(held.service, now)
@@ -200,7 +200,7 @@
                 held = HeldGrant(instance, service, request_id, now, now)
                 self._held.add(request_id, held)
 
-    def doubtful(self):
+    def in_doubt_instances(self):
         """Return the instances to ask about calls whose end is in doubt.
 
         Returns
@@ -209,7 +209,7 @@
         """
         now = self._clock.monotonic()
         with self._lock:
-            return self._held.doubtful_instances(now)
+            return self._held.in_doubt_instances(now)
 
     def loads(self):
         """Return the load of each service, for heartbeats."""
@@ -223,7 +223,7 @@
                 for name in self._ledger.services()
             ]
 
-    def held(self):
+    def held_count(self):
         """Return the number of slots given out."""
         with self._lock:
             return len(self._held)
@@ -261,8 +261,8 @@
         # before, the backend server would not know of the call yet, and the
         # slot would go to a second one.
         longest = max(wanted.run_milliseconds, wanted.wait_milliseconds or 0) / 1000
-        doubtful_after = now + longest + _GRANT_MARGIN
-        held = HeldGrant(name, wanted.service, wanted.request_id, now, doubtful_after)
+        in_doubt_after = now + longest + _GRANT_MARGIN
+        held = HeldGrant(name, wanted.service, wanted.request_id, now, in_doubt_after)
         self._held.add(grant_id, held)
         self._policy.granted(wanted.service, name, grant_id)
         return SlotGrant(
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -76,7 +76,7 @@
 
     def reconcile_grants(self, shard):
         """Ask backend servers about grants past their upper bound."""
-        for instance in shard.slot_allocator.doubtful():
+        for instance in shard.slot_allocator.in_doubt_instances():
             entry = shard.entries[instance]
             try:
                 running = self._instances.running(entry.url, shard.epoch)
--- a/tests/ownership/test_grants.py
+++ b/tests/ownership/test_grants.py
@@ -28,10 +28,10 @@
         granted = shard.slot_allocator.request(wanted, 8)
         grant = Grant(granted, None, asked + wait + WINDOW)
         while is_usable(grant, cell.clock.monotonic()):
-            assert list(shard.slot_allocator.doubtful()) == []
+            assert list(shard.slot_allocator.in_doubt_instances()) == []
             cell.clock.advance(0.1)
         cell.clock.advance(max(run, wait) + 1)
-        assert list(shard.slot_allocator.doubtful()) == ["counts-1"]
+        assert list(shard.slot_allocator.in_doubt_instances()) == ["counts-1"]
 
 
 def is_usable(grant, now):
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -121,7 +121,7 @@
     while cell.platform.instances.state("counts-1", "first")[0] != 200:
         threading.Event().wait(0.005)
     newer = cell.take_over("placer-b")
-    assert newer.slot_allocator.held() == 1
+    assert newer.slot_allocator.held_count() == 1
     with pytest.raises(WaitOver):
         newer.slot_allocator.request(
             SlotRequest(service="counts", wait_milliseconds=0, run_milliseconds=10), 8
--- a/tests/placer/test_slots.py
+++ b/tests/placer/test_slots.py
@@ -164,7 +164,7 @@
     later = bench.ask(wait=9)
     bench.desk.release(grant.grant_id, "unknown", 0.5)
     assert not later.done()
-    assert bench.desk.doubtful() == ["i0"]
+    assert bench.desk.in_doubt_instances() == ["i0"]
     bench.desk.reconcile("i0", ["r1"])
     assert not later.done()
     bench.desk.reconcile("i0", [])
@@ -179,13 +179,13 @@
     bench = Bench()
     bench.ask(run=1.0)
     bench.clock.advance(1.9)
-    assert bench.desk.doubtful() == []
+    assert bench.desk.in_doubt_instances() == []
     bench.clock.advance(0.2)
-    assert bench.desk.doubtful() == ["i0"]
+    assert bench.desk.in_doubt_instances() == ["i0"]
     bench.desk.reconcile("i0", ["r1"])
-    assert bench.desk.held() == 1
+    assert bench.desk.held_count() == 1
     bench.desk.reconcile("i0", ["another"])
-    assert bench.desk.held() == 0
+    assert bench.desk.held_count() == 0
 
 
 def test_leaving_server_gets_no_more_slots():
@@ -209,7 +209,7 @@
     bench = Bench()
     grant = bench.ask()
     bench.desk.restore("i0", ["r1", "stranger"])
-    assert bench.desk.held() == 2
+    assert bench.desk.held_count() == 2
     bench.desk.release(grant.grant_id)
     assert bench.ledger.busy("i0") == 1
 
@@ -225,4 +225,4 @@
     bench.desk.release(old.grant_id, "unknown", 0.1)
     bench.ask()
     bench.desk.reconcile("i0", [])
-    assert bench.desk.held() == 1
+    assert bench.desk.held_count() == 1
