--- a/papayapick/placer/handover.py
+++ b/papayapick/placer/handover.py
@@ -18,10 +18,10 @@
 # A handover under way is over within a few heartbeats; as for other moved work.
 _MOVED_RETRY_SECONDS = 0.05
 # Looks at the peers that a better placed owner must have passed in a row.
-_STEADY_LOOKS = 5
+_CHECKS_BEFORE_RETURN = 5
 
 
-class _Passed:
+class _Forward:
     __slots__ = ("peer", "ready", "summary", "until")
 
     def __init__(self, peer, ready, summary, until):
@@ -42,36 +42,43 @@
     ----------
     process : Process
     owner : ShardOwner
-    in_hand : callable
+    running_count : callable
         Returns how many runs of a shard are under way in this process.
     """
 
-    __slots__ = ("_in_hand", "_lock", "_owner", "_passed", "_process", "_steady")
+    __slots__ = (
+        "_running_count",
+        "_lock",
+        "_owner",
+        "_forwards",
+        "_process",
+        "_preferred_owner_checks",
+    )
 
-    def __init__(self, process, owner, in_hand):
+    def __init__(self, process, owner, running_count):
         self._process = process
         self._owner = owner
-        self._in_hand = in_hand
-        self._passed = {}
-        self._steady = {}
+        self._running_count = running_count
+        self._forwards = {}
+        self._preferred_owner_checks = {}
         self._lock = threading.Lock()
 
     @property
-    def passing_seconds(self):
+    def forward_seconds(self):
         """Return how long gateways may take to learn of a new owner."""
         return 5 * self._process.settings.heartbeat_seconds
 
     def summaries(self):
         """Return the shards that are passed on, as they were announced."""
-        return [found.summary for found in self._fresh()]
+        return [found.summary for found in self._active_forwards()]
 
-    def hand_over(self, shard, must_leave=False):
+    def hand_over(self, shard, force=False):
         """Release a shard, tell its next owner and pass on what comes.
 
         Parameters
         ----------
         shard : Shard
-        must_leave : bool
+        force : bool
             Serve the shard no more even where the table takes no release.
 
         Returns
@@ -84,37 +91,37 @@
         summary = shard.summary()
         ready = Future()
         if peer is not None:
-            until = process.clock.monotonic() + self.passing_seconds
+            until = process.clock.monotonic() + self.forward_seconds
             with self._lock:
-                self._passed[shard.name] = _Passed(peer, ready, summary, until)
+                self._forwards[shard.name] = _Forward(peer, ready, summary, until)
         shard.stop_admission()
         self._flush(shard)
         try:
             release(process.table, shard.row)
         except PlatformError as error:
             _LOG.info("shard not released", extra={"error": str(error)})
-            if not must_leave:
+            if not force:
                 # Nobody else can take it while the table is down. Where the
                 # release took effect unseen, its next owner fences the hosts
                 # and the next look at the table tells.
-                self._stay(shard, ready)
+                self._cancel_handover(shard, ready)
                 return False
         self._owner.forget(shard)
-        self._tell(peer, shard, ready)
+        self._notify_next_owner(peer, shard, ready)
         return True
 
-    def _stay(self, shard, ready):
+    def _cancel_handover(self, shard, ready):
         with self._lock:
-            self._passed.pop(shard.name, None)
+            self._forwards.pop(shard.name, None)
         ready.set_result(None)
         shard.resume_admission()
 
-    def hand_over_idle(self):
+    def hand_over_idle_shards(self):
         """Hand over the shards of a draining process that run nothing."""
         for shard in self._owner.shards:
             self._hand_over_if_idle(shard)
 
-    def give_back(self):
+    def return_to_preferred(self):
         """Hand one shard to the placer that should serve it, if it runs nothing.
 
         A placer that comes back would otherwise never get the shards of its
@@ -123,12 +130,12 @@
         for shard in self._owner.shards:
             peer = self._next_owner(shard.name)
             if peer is None:
-                self._steady.pop(shard.name, None)
+                self._preferred_owner_checks.pop(shard.name, None)
                 continue
-            looks = self._steady.get(shard.name, 0) + 1
-            self._steady[shard.name] = looks
-            if looks > _STEADY_LOOKS and self._hand_over_if_idle(shard):
-                del self._steady[shard.name]
+            looks = self._preferred_owner_checks.get(shard.name, 0) + 1
+            self._preferred_owner_checks[shard.name] = looks
+            if looks > _CHECKS_BEFORE_RETURN and self._hand_over_if_idle(shard):
+                del self._preferred_owner_checks[shard.name]
                 return
 
     def receive(self, handover):
@@ -141,10 +148,10 @@
         serving = Future()
         answer = Future()
         serving.add_done_callback(lambda done: answer.set_result(Acknowledgement()))
-        self._process.executor.submit(self._take, handover, serving)
+        self._process.executor.submit(self._take_over, handover, serving)
         return answer
 
-    def pass_on(self, payload, traceparent):
+    def forward(self, payload, traceparent):
         """Pass a message to the next owner of its shard.
 
         Returns
@@ -153,7 +160,7 @@
             None where the shard was not handed over lately.
         """
         with self._lock:
-            found = self._passed.get(payload.shard)
+            found = self._forwards.get(payload.shard)
         if found is None or found.until < self._process.clock.monotonic():
             return None
         answer = Future()
@@ -165,17 +172,17 @@
                     return
                 asked = found.peer.client.call(payload, traceparent)
             except WireError as error:
-                answer.set_exception(_passing_error(payload, error))
+                answer.set_exception(_forwarding_error(payload, error))
                 return
-            asked.add_done_callback(lambda done: _copy(done, payload, answer))
+            asked.add_done_callback(lambda done: _copy_result(done, payload, answer))
 
         found.ready.add_done_callback(ask)
         return answer
 
     def _hand_over_if_idle(self, shard):
-        shard.is_leaving = True
-        if self._in_hand(shard):
-            shard.is_leaving = self._process.is_draining
+        shard.is_handing_over = True
+        if self._running_count(shard):
+            shard.is_handing_over = self._process.is_draining
             return False
         return self.hand_over(shard)
 
@@ -201,7 +208,7 @@
             # by the next owner from the starts that are.
             _LOG.warning("journal not flushed", extra={"shard": shard.name})
 
-    def _tell(self, peer, shard, ready):
+    def _notify_next_owner(self, peer, shard, ready):
         if peer is None:
             ready.set_result(None)
             return
@@ -214,12 +221,12 @@
         told.add_done_callback(lambda done: ready.set_result(None))
         _LOG.info("shard handed over", extra={"shard": shard.name, "to": peer.name})
 
-    def _take(self, handover, serving):
+    def _take_over(self, handover, serving):
         try:
             row = read_shard(self._process.table, handover.shard)
             if row.owner == "" and row.epoch == handover.epoch:
                 with self._lock:
-                    self._passed.pop(handover.shard, None)
+                    self._forwards.pop(handover.shard, None)
                 self._owner.take(row, serving)
         except PlatformError as error:
             _LOG.info("handover put off", extra={"error": str(error)})
@@ -227,21 +234,21 @@
             if not serving.done():
                 serving.set_result(None)
 
-    def _fresh(self):
+    def _active_forwards(self):
         now = self._process.clock.monotonic()
         with self._lock:
-            return [found for found in self._passed.values() if found.until >= now]
+            return [found for found in self._forwards.values() if found.until >= now]
 
 
-def _copy(done, payload, answer):
+def _copy_result(done, payload, answer):
     error = done.exception()
     if error is not None:
-        answer.set_exception(_passing_error(payload, error))
+        answer.set_exception(_forwarding_error(payload, error))
     else:
         answer.set_result(done.result())
 
 
-def _passing_error(payload, error):
+def _forwarding_error(payload, error):
     """Return what the asker is told of a message that could not be passed on.
 
     While hosts are replaced in turn, the next owner may be gone as well. Told
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -78,7 +78,7 @@
 
     def start_waiting(self, shard):
         """Start the waiting jobs whose turn it is and that fit."""
-        if shard.is_closed or shard.is_leaving:
+        if shard.is_closed or shard.is_handing_over:
             return
         now = self._process.clock.time()
         shard.jobs.use_bundle(self._process.watcher.bundle)
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -88,7 +88,7 @@
             self._dispatcher.fail_shard_waiters,
         )
         self._loop = WorkLoop(process, self._dispatcher, self._runner)
-        self._handover = ShardHandover(process, self._owner, self._loop.in_hand)
+        self._handover = ShardHandover(process, self._owner, self._loop.running_count)
         slots = SlotClient.from_process(process)
         self._requests = RequestRunner(process, slots, instances, self._dispatcher)
         self._jobs = JobRunner(process, workers, self._dispatcher)
@@ -139,12 +139,12 @@
         clock = process.clock
         deadline = clock.monotonic() + process.settings.drain_seconds
         while self.shards and clock.monotonic() < deadline:
-            self._handover.hand_over_idle()
+            self._handover.hand_over_idle_shards()
             clock.wait(process.is_stopping, _LOOK_SECONDS)
         for shard in self.shards:
-            self._handover.hand_over(shard, must_leave=True)
+            self._handover.hand_over(shard, force=True)
         if self._handover.summaries():
-            clock.wait(process.is_stopping, self._handover.passing_seconds)
+            clock.wait(process.is_stopping, self._handover.forward_seconds)
         self._health.close()
         process.close()
 
@@ -153,7 +153,7 @@
         if isinstance(payload, Handover):
             return self._handover.receive(payload)
         if self._owner.get(payload.shard) is None:
-            passed = self._handover.pass_on(payload, traceparent)
+            passed = self._handover.forward(payload, traceparent)
             if passed is not None:
                 return None if isinstance(payload, Release) else passed
         if isinstance(payload, Release):
@@ -178,7 +178,7 @@
         """Confirm the owned shards and take those that this placer should serve."""
         self._owner.own()
         if not self._process.is_draining:
-            self._handover.give_back()
+            self._handover.return_to_preferred()
 
     def refresh_hosts(self):
         """Bring the hosts of the owned shards in step with the live list."""
--- a/papayapick/placer/runners.py
+++ b/papayapick/placer/runners.py
@@ -26,19 +26,19 @@
         Returns the runner of an item.
     """
 
-    __slots__ = ("_dispatcher", "_in_hand", "_lock", "_process", "_runner_of")
+    __slots__ = ("_dispatcher", "_running_counts", "_lock", "_process", "_runner_of")
 
     def __init__(self, process, dispatcher, runner_of):
         self._process = process
         self._dispatcher = dispatcher
         self._runner_of = runner_of
-        self._in_hand = collections.Counter()
+        self._running_counts = collections.Counter()
         self._lock = threading.Lock()
 
-    def in_hand(self, shard):
+    def running_count(self, shard):
         """Return how many runs of a shard are under way."""
         with self._lock:
-            return self._in_hand[shard.name]
+            return self._running_counts[shard.name]
 
     def step(self):
         """Run the next item that comes due; the step of a task."""
@@ -49,15 +49,15 @@
     def run_one(self, shard, item):
         """Run an item; whatever fails, it is put off and not dropped."""
         with self._lock:
-            self._in_hand[shard.name] += 1
+            self._running_counts[shard.name] += 1
         try:
             self._run(shard, item)
         finally:
             with self._lock:
-                self._in_hand[shard.name] -= 1
+                self._running_counts[shard.name] -= 1
 
     def _run(self, shard, item):
-        if shard.is_leaving and not shard.is_closed:
+        if shard.is_handing_over and not shard.is_closed:
             # The next owner starts it; here it is kept for the case that the
             # shard stays after all.
             self._dispatcher.enqueue(shard, item, _LEAVING_SECONDS)
--- a/papayapick/placer/shards.py
+++ b/papayapick/placer/shards.py
@@ -40,7 +40,7 @@
         "estimates",
         "failures",
         "hosts",
-        "is_leaving",
+        "is_handing_over",
         "jobs",
         "journal",
         "row",
@@ -77,7 +77,7 @@
         self._clock = process.clock
         self._objects = process.objects
         # Set while the shard is about to be handed over: nothing is started.
-        self.is_leaving = False
+        self.is_handing_over = False
         self._pauses = process.pauses
         self._confirmed_pauses = process.pauses.count()
         self._is_closed = False
@@ -134,7 +134,7 @@
 
     def resume_admission(self):
         """Take work again: the shard could not be given away."""
-        self.is_leaving = False
+        self.is_handing_over = False
         self._is_closed = False
 
     def summary(self):
--- a/tests/placer/test_passing_on.py
+++ b/tests/placer/test_forwarding.py
@@ -67,7 +67,7 @@
         executor=ThreadPoolExecutor(1),
     )
     owner = SimpleNamespace(forget=lambda shard: None)
-    found = ShardHandover(process, owner, in_hand=lambda shard: 0)
+    found = ShardHandover(process, owner, running_count=lambda shard: 0)
     assert found.hand_over(FakeShard())
     return found
 
@@ -101,7 +101,7 @@
     and told the connection's error on as if the work itself might have run. A
     slot is no run, so the gateway is to ask whoever owns the shard now.
     """
-    found = handed_over(monkeypatch, error, is_sent).pass_on(slot_request(), "")
+    found = handed_over(monkeypatch, error, is_sent).forward(slot_request(), "")
     with pytest.raises(ShardClosed) as raised:
         found.result(1)
     assert raised.value.outcome == "not_run"
@@ -110,7 +110,7 @@
 def test_work_that_was_not_sent_on_is_not_called_unknown(monkeypatch):
     """The next owner can't be connected to, so it can't have taken on the work."""
     error = PeerUnreachable(address=ADDRESS)
-    passed = handed_over(monkeypatch, error, False).pass_on(_submit(), "")
+    passed = handed_over(monkeypatch, error, False).forward(_submit(), "")
     with pytest.raises(ShardClosed):
         passed.result(1)
 
@@ -118,7 +118,7 @@
 def test_work_whose_answer_was_lost_stays_unknown(monkeypatch):
     """The next owner went away with the message: it may have journaled it."""
     error = PeerDisconnected(address=ADDRESS)
-    passed = handed_over(monkeypatch, error, True).pass_on(_submit(), "")
+    passed = handed_over(monkeypatch, error, True).forward(_submit(), "")
     with pytest.raises(PeerDisconnected):
         passed.result(1)
 
