--- a/papayapick/placer/handover.py
+++ b/papayapick/placer/handover.py
@@ -106,7 +106,7 @@
                 # and the next look at the table tells.
                 self._cancel_handover(shard, ready)
                 return False
-        self._owner.forget(shard)
+        self._owner.close(shard)
         self._notify_next_owner(peer, shard, ready)
         return True
 
@@ -227,7 +227,7 @@
             if row.owner == "" and row.epoch == handover.epoch:
                 with self._lock:
                     self._forwards.pop(handover.shard, None)
-                self._owner.take(row, serving)
+                self._owner.take_over(row, serving)
         except PlatformError as error:
             _LOG.info("handover put off", extra={"error": str(error)})
         finally:
--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -47,7 +47,7 @@
         "_on_taken",
         "_process",
         "_shards",
-        "_taking",
+        "_takeovers",
     )
 
     def __init__(self, process, host_reconciler, bucket, on_taken, on_lost):
@@ -59,7 +59,7 @@
         self._shards = {}
         self._claimed = {}
         self._gate = LookGate(process.clock, lambda: process.hears_store())
-        self._taking = set()
+        self._takeovers = set()
         self._lock = threading.Lock()
 
     @property
@@ -73,14 +73,14 @@
         with self._lock:
             return self._shards.get(name)
 
-    def serving(self, name):
+    def require(self, name):
         """Return an owned shard; raise ShardNotOwned."""
         shard = self.get(name)
         if shard is None:
             raise ShardNotOwned(shard=name)
         return shard
 
-    def own(self):
+    def update_ownership(self):
         """Confirm the owned shards and take those that this placer should serve.
 
         Raises
@@ -100,14 +100,14 @@
             for name in process.watcher.bundle.shards()
         ]
         wanted = [row for row in wanted if self._should_take(row)]
-        futures = [process.executor.submit(self.take, row) for row in wanted]
+        futures = [process.executor.submit(self.take_over, row) for row in wanted]
         for future in futures:
             try:
                 future.result()
             except PlatformError as error:
                 _LOG.info("takeover put off", extra={"error": str(error)})
 
-    def take(self, row, serving=None):
+    def take_over(self, row, serving=None):
         """Claim a shard, load its work, look at its hosts and serve it.
 
         Parameters
@@ -129,30 +129,30 @@
             The shard may be claimed but is not served; the next look goes on.
         """
         with self._lock:
-            if row.shard in self._shards or row.shard in self._taking:
+            if row.shard in self._shards or row.shard in self._takeovers:
                 # Two journals at one epoch would write the same segments.
                 return None
-            self._taking.add(row.shard)
+            self._takeovers.add(row.shard)
         try:
             shard = self._claim_and_load(row)
         finally:
             with self._lock:
-                self._taking.discard(row.shard)
+                self._takeovers.discard(row.shard)
             if serving is not None:
                 serving.set_result(None)
         if shard is not None:
             self._host_reconciler.refresh(
-                shard, self._process.peers.entries, self._count()
+                shard, self._process.peers.entries, self._shards_per_zone()
             )
             self._on_taken(shard)
         return shard
 
     def lose(self, shard):
         """Close a shard that a newer owner has."""
-        self.forget(shard)
+        self.close(shard)
         _LOG.warning("shard lost", extra={"shard": shard.name, "epoch": shard.epoch})
 
-    def forget(self, shard):
+    def close(self, shard):
         """Close a shard and serve it no more."""
         with self._lock:
             if self._shards.get(shard.name) is shard:
@@ -167,7 +167,9 @@
             return None
         shard = Shard(taken, process, self._bucket, self.lose)
         load_work(shard, process.table, process.objects)
-        self._host_reconciler.add_listed(shard, process.peers.entries, self._count())
+        self._host_reconciler.add_listed(
+            shard, process.peers.entries, self._shards_per_zone()
+        )
         with self._lock:
             self._shards[shard.name] = shard
             self._claimed.pop(shard.name, None)
@@ -175,7 +177,7 @@
         _LOG.info("shard taken", extra={"shard": shard.name, "epoch": shard.epoch})
         return shard
 
-    def _count(self):
+    def _shards_per_zone(self):
         document = self._process.watcher.bundle.document
         return document["topology"]["shards_per_zone"]
 
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -119,7 +119,7 @@
         process = self._process
         self._health.start()
         process.start()
-        process.loop(self.own_shards, process.settings.poll_seconds)
+        process.loop(self.update_ownership, process.settings.poll_seconds)
         process.loop(self.refresh_hosts, process.settings.poll_seconds)
         process.loop(self._expire, _EXPIRE_SECONDS)
         process.loop(self._answer_overdue, _EXPIRE_SECONDS)
@@ -159,7 +159,7 @@
         if isinstance(payload, Release):
             self._release(payload)
             return None
-        shard = self._owner.serving(payload.shard)
+        shard = self._owner.require(payload.shard)
         with (
             self._process.tracing.span(type(payload).__name__, traceparent),
             log_fields(shard=shard.name, epoch=shard.epoch),
@@ -174,9 +174,9 @@
                 return self._query(shard, payload)
         return None
 
-    def own_shards(self):
+    def update_ownership(self):
         """Confirm the owned shards and take those that this placer should serve."""
-        self._owner.own()
+        self._owner.update_ownership()
         if not self._process.is_draining:
             self._handover.return_to_preferred()
 
@@ -217,12 +217,12 @@
         bundle = self._process.watcher.bundle
         if wanted.kind == _JOB:
             policy = bundle.jobs[wanted.name]
-            self._check_holdable(shard, wanted)
+            self._check_job_fits(shard, wanted)
         else:
             policy = bundle.services[wanted.name]
         return self._dispatcher.submit(shard, wanted, policy)
 
-    def _check_holdable(self, shard, wanted):
+    def _check_job_fits(self, shard, wanted):
         job = json.loads(wanted.job)
         demand = Amounts.from_mapping(job["demand"])
         entries = self._process.peers.entries
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -215,7 +215,7 @@
         self.pool.operations.clear()
         self.pool.is_armed = False
         self._armed = faults
-        self.shard = self.owner.take(row)
+        self.shard = self.owner.take_over(row)
 
     def refresh(self):
         """Look at the hosts again, as the placer does at each poll."""
--- a/tests/failures/test_takeover.py
+++ b/tests/failures/test_takeover.py
@@ -41,7 +41,7 @@
 
     def take(life):
         together.wait()
-        return life.owner.take(row)
+        return life.owner.take_over(row)
 
     with ThreadPoolExecutor(len(lives)) as executor:
         taken = [shard for shard in executor.map(take, lives) if shard is not None]
@@ -58,7 +58,7 @@
     row = read_shard(life.process.table, SHARD)
     cell.platform.board.set("objects", "down")
     with ThreadPoolExecutor(8) as executor:
-        taken = list(executor.map(lambda _: life.owner.take(row), range(8)))
+        taken = list(executor.map(lambda _: life.owner.take_over(row), range(8)))
     assert len([shard for shard in taken if shard is not None]) == 1
     assert len(life.owner.shards) == 1
 
@@ -78,7 +78,7 @@
         for life in lives:
             try:
                 row = read_shard(life.process.table, SHARD)
-                shard = life.owner.take(row)
+                shard = life.owner.take_over(row)
             except PlatformError:
                 continue
             served += [shard] if shard is not None else []
@@ -103,9 +103,9 @@
     cell.platform.board.set("objects", "down")
     for _ in range(5):
         with pytest.raises(PlatformError):
-            life.owner.take(read_shard(life.process.table, SHARD))
+            life.owner.take_over(read_shard(life.process.table, SHARD))
     cell.platform.board.clear("objects")
-    shard = life.owner.take(read_shard(life.process.table, SHARD))
+    shard = life.owner.take_over(read_shard(life.process.table, SHARD))
     assert shard.epoch == before.shard.epoch + 1
     assert len(shard.book) == 70
 
--- a/tests/placer/test_admission.py
+++ b/tests/placer/test_admission.py
@@ -24,7 +24,7 @@
     )
     shard = SimpleNamespace(name="z.0", hosts=HostLedger())
     job = {"members": 1, "demand": {"processors": processors}}
-    Placer._check_holdable(placer, shard, Submit(job=json.dumps(job)))
+    Placer._check_job_fits(placer, shard, Submit(job=json.dumps(job)))
 
 
 def test_a_job_that_no_worker_could_hold_is_told_never():
--- a/tests/placer/test_forwarding.py
+++ b/tests/placer/test_forwarding.py
@@ -66,7 +66,7 @@
         table=None,
         executor=ThreadPoolExecutor(1),
     )
-    owner = SimpleNamespace(forget=lambda shard: None)
+    owner = SimpleNamespace(close=lambda shard: None)
     found = ShardHandover(process, owner, running_count=lambda shard: 0)
     assert found.hand_over(FakeShard())
     return found
