--- a/papayapick/placer/__init__.py
+++ b/papayapick/placer/__init__.py
@@ -3,8 +3,8 @@
 from papayapick.placer.exceptions import (
     PlacerError,
     ShardClosed,
-    WaitingFull,
-    WaitOver,
+    SlotWaitExpired,
+    WaitingQueueFull,
 )
 
-__all__ = ["PlacerError", "ShardClosed", "WaitOver", "WaitingFull"]
+__all__ = ["PlacerError", "ShardClosed", "SlotWaitExpired", "WaitingQueueFull"]
--- a/papayapick/placer/exceptions.py
+++ b/papayapick/placer/exceptions.py
@@ -8,9 +8,9 @@
     "ResultUnreadable",
     "ServiceUnknown",
     "ShardClosed",
-    "WaitOver",
+    "SlotWaitExpired",
     "WaitTooLong",
-    "WaitingFull",
+    "WaitingQueueFull",
     "WorkMoved",
 ]
 
@@ -22,14 +22,14 @@
     outcome = "not_run"
 
 
-class WaitingFull(PlacerError):
+class WaitingQueueFull(PlacerError):
     """Report a service whose queue is full."""
 
     code = "placer.waiting-full"
     template = "{waiting} requests wait for {service} already"
 
 
-class WaitOver(PlacerError):
+class SlotWaitExpired(PlacerError):
     """Report a request that got no slot within the time it could wait."""
 
     code = "placer.wait-over"
--- a/papayapick/placer/service_queue.py
+++ b/papayapick/placer/service_queue.py
@@ -1,6 +1,6 @@
 """Decide who may wait for a slot of one service, and who is refused."""
 
-from papayapick.placer.exceptions import WaitingFull, WaitOver, WaitTooLong
+from papayapick.placer.exceptions import SlotWaitExpired, WaitingQueueFull, WaitTooLong
 from papayapick.placer.fair_queue import DrainRate, FairQueue
 
 __all__ = ["ServiceQueue"]
@@ -43,7 +43,9 @@
         WaitOver, WaitTooLong
         """
         if not wait_seconds:
-            raise WaitOver(service=self._name, retry_after=self._retry_after(now, busy))
+            raise SlotWaitExpired(
+                service=self._name, retry_after=self._retry_after(now, busy)
+            )
         rate = self._drain.estimate(now, busy)
         if not rate:
             return
@@ -70,7 +72,7 @@
         if waiting_limit:
             # One caller's flood must not keep the others out of the queue.
             victim = self.queue.evict_for(caller)
-        error = WaitingFull(
+        error = WaitingQueueFull(
             service=self._name,
             waiting=len(self.queue),
             retry_after=self._retry_after(now, busy),
@@ -94,7 +96,9 @@
         return [
             (
                 waiting.future,
-                WaitOver(service=self._name, retry_after=self._retry_after(now, busy)),
+                SlotWaitExpired(
+                    service=self._name, retry_after=self._retry_after(now, busy)
+                ),
             )
             for waiting in removed
         ]
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -6,7 +6,7 @@
 from papayapick.journal import JournalFenced, Started
 from papayapick.ledger import Amounts, HostFull
 from papayapick.ownership import OwnershipUnconfirmed
-from papayapick.placer.exceptions import WaitOver
+from papayapick.placer.exceptions import SlotWaitExpired
 from papayapick.wire.messages import SlotRequest
 from tests.ownership.parts import CAPACITY, SmallCell
 
@@ -122,7 +122,7 @@
         threading.Event().wait(0.005)
     newer = cell.take_over("placer-b")
     assert newer.slot_allocator.held_count() == 1
-    with pytest.raises(WaitOver):
+    with pytest.raises(SlotWaitExpired):
         newer.slot_allocator.request(
             SlotRequest(service="counts", wait_milliseconds=0, run_milliseconds=10), 8
         )
--- a/tests/placer/test_slots.py
+++ b/tests/placer/test_slots.py
@@ -7,7 +7,7 @@
 from papayapick.clock import ManualClock
 from papayapick.ledger import SlotLedger
 from papayapick.placement import HealthAware, InstanceHealth
-from papayapick.placer.exceptions import WaitingFull, WaitOver, WaitTooLong
+from papayapick.placer.exceptions import SlotWaitExpired, WaitingQueueFull, WaitTooLong
 from papayapick.placer.slots import SlotAllocator
 from papayapick.wire.messages import SlotGrant, SlotRequest
 
@@ -59,7 +59,7 @@
     bench.clock.advance(0.2)
     bench.desk.release(first.grant_id)
     assert isinstance(long.result(0), SlotGrant)
-    assert isinstance(short.exception(0), WaitOver)
+    assert isinstance(short.exception(0), SlotWaitExpired)
 
 
 def test_earliest_deadline_of_a_caller_goes_first():
@@ -97,9 +97,9 @@
     flood = [bench.ask(wait=9, caller="flood", limit=10) for _ in range(10)]
     other = bench.ask(wait=9, caller="ben", limit=10)
     assert not other.done()
-    assert isinstance(flood[-1].exception(0), WaitingFull)
+    assert isinstance(flood[-1].exception(0), WaitingQueueFull)
     assert sum(found.done() for found in flood) == 1
-    with pytest.raises(WaitingFull):
+    with pytest.raises(WaitingQueueFull):
         bench.ask(wait=9, caller="flood", limit=10)
 
 
@@ -127,7 +127,7 @@
     bench.ask()
     moments = set()
     for _ in range(20):
-        with pytest.raises(WaitOver) as caught:
+        with pytest.raises(SlotWaitExpired) as caught:
             bench.ask(wait=0)
         moments.add(round(caught.value.retry_after, 3))
     assert len(moments) > 10
@@ -150,7 +150,7 @@
     bench.desk.expire()
     refused = [found for found in waiting if found.done()]
     assert 40 < len(refused) < 60
-    assert all(isinstance(found.exception(0), WaitOver) for found in refused)
+    assert all(isinstance(found.exception(0), SlotWaitExpired) for found in refused)
 
 
 def test_unknown_end_keeps_the_slot_until_the_server_speaks():
--- a/tests/placer/test_slots_leaving.py
+++ b/tests/placer/test_slots_leaving.py
@@ -11,7 +11,7 @@
 from papayapick.ledger import SlotLedger
 from papayapick.ownership import shard_of
 from papayapick.placement import HealthAware, InstanceHealth
-from papayapick.placer.exceptions import WaitOver
+from papayapick.placer.exceptions import SlotWaitExpired
 from papayapick.placer.slots import SlotAllocator
 from papayapick.placer.takeover import HostReconciler
 from papayapick.wire.messages import SlotRequest
@@ -154,5 +154,5 @@
     for _ in range(2):
         bench.call()
     bench.look()
-    with pytest.raises(WaitOver):
+    with pytest.raises(SlotWaitExpired):
         bench.call()
