--- a/papayapick/placer/__init__.py
+++ b/papayapick/placer/__init__.py
@@ -1,4 +1,4 @@
-"""The process that owns shards of hosts and places work on them."""
+"""The placer process, which owns shards of hosts and places work on them."""
 
 from papayapick.placer.exceptions import (
     PlacerError,
--- a/papayapick/placer/fair_queue.py
+++ b/papayapick/placer/fair_queue.py
@@ -1,4 +1,4 @@
-"""Queue requests for slots: bounded, by deadline, fair between callers."""
+"""Queue requests for slots, fairly among callers and by deadline per caller."""
 
 import heapq
 import itertools
@@ -7,60 +7,65 @@
 __all__ = ["DrainRate", "QueuedRequest", "FairQueue"]
 
 _SMOOTHING = 0.05
-_LEAST_SAMPLES = 16
+_MIN_SAMPLES = 16
 _WINDOW = 128
-_HOPELESS_FACTOR = 1.5
+_OVERRUN_FACTOR = 1.5
 
 
 class QueuedRequest:
-    """Hold one request that waits for a slot.
+    """Represent one request that waits for a slot.
 
     Parameters
     ----------
     future : concurrent.futures.Future
     deadline : float
-        Monotonic seconds after which a slot is of no use.
-    wanted : SlotRequest
+        Monotonic seconds after which the request no longer waits.
+    request : SlotRequest
     """
 
-    __slots__ = ("deadline", "future", "wanted")
+    __slots__ = ("deadline", "future", "request")
 
-    def __init__(self, future, deadline, wanted):
+    def __init__(self, future, deadline, request):
         self.future = future
         self.deadline = deadline
-        self.wanted = wanted
+        self.request = request
 
     @property
     def caller(self):
-        """Return the caller, whose requests take turns with the others'."""
-        return self.wanted.caller or ""
+        """Return the caller of the request, empty if it is not known."""
+        return self.request.caller or ""
 
 
 class FairQueue:
-    """Serve callers in turn, and each caller's requests by earliest deadline."""
+    """Serve callers round-robin, and each caller's requests by earliest deadline."""
 
-    __slots__ = ("_callers", "_numbers", "_size", "_turns")
+    __slots__ = ("_callers", "_sequence", "_size", "_rotation")
 
     def __init__(self):
         self._callers = {}
-        self._turns = deque()
-        self._numbers = itertools.count()
+        self._rotation = deque()
+        self._sequence = itertools.count()
         self._size = 0
 
     def __len__(self):
         return self._size
 
-    def add(self, waiting):
-        """Add a request."""
-        heap = self._callers.get(waiting.caller)
+    def add(self, queued):
+        """Add a request.
+
+        Parameters
+        ----------
+        queued : QueuedRequest
+        """
+        heap = self._callers.get(queued.caller)
         if heap is None:
-            heap = self._callers[waiting.caller] = []
-            self._turns.append(waiting.caller)
-        heapq.heappush(heap, (waiting.deadline, next(self._numbers), waiting))
+            heap = self._callers[queued.caller] = []
+            self._rotation.append(queued.caller)
+        heapq.heappush(heap, (queued.deadline, next(self._sequence), queued))
         self._size += 1
 
     def ahead_of(self, caller):
-        """Return how many would be served before one more of a caller."""
+        """Return how many requests precede one more request of a caller."""
         own = len(self._callers.get(caller, ()))
         others = sum(
             min(len(heap), own + 1)
@@ -70,68 +75,74 @@
         return own + others
 
     def first(self):
-        """Return the request whose turn it is, or None."""
-        if not self._turns:
+        """Return the next request to be served, or None."""
+        if not self._rotation:
             return None
-        return self._callers[self._turns[0]][0][2]
+        return self._callers[self._rotation[0]][0][2]
 
     def take_first(self):
-        """Remove the first request; its caller's next turn is the last."""
-        caller = self._turns.popleft()
+        """Remove and return the first request; move its caller to the end."""
+        caller = self._rotation.popleft()
         heap = self._callers[caller]
-        _, _, waiting = heapq.heappop(heap)
+        _, _, queued = heapq.heappop(heap)
         self._size -= 1
         if heap:
-            self._turns.append(caller)
+            self._rotation.append(caller)
         else:
             del self._callers[caller]
-        return waiting
+        return queued
 
     def remove_expired(self, now):
-        """Remove and return the requests whose deadline is over."""
+        """Remove and return the requests whose deadline has passed."""
         expired = []
         for heap in self._callers.values():
             while heap and heap[0][0] <= now:
                 expired.append(heapq.heappop(heap)[2])
-        self._forget_empty(len(expired))
+        self._drop_empty(len(expired))
         return expired
 
     def remove_unservable(self, now, rate):
-        """Remove and return requests that the rate can't serve in their time.
+        """Remove and return requests that can't be served before their deadline.
 
         Parameters
         ----------
         now : float
+            Monotonic seconds.
         rate : float
-            Slots that come free in a second.
+            Slots freed per second.
+
+        Returns
+        -------
+        list of QueuedRequest
         """
-        kept, hopeless, place = {}, [], 0
-        lines = {name: sorted(self._callers[name]) for name in self._turns}
-        for line_number in range(max(map(len, lines.values()), default=0)):
-            for name, line in lines.items():
-                if line_number >= len(line):
+        kept, removed, ahead = {}, [], 0
+        by_caller = {name: sorted(self._callers[name]) for name in self._rotation}
+        for position in range(max(map(len, by_caller.values()), default=0)):
+            for name, entries in by_caller.items():
+                if position >= len(entries):
                     continue
-                entry = line[line_number]
-                rest = entry[0] - now
-                if (place + 1) / rate > rest * _HOPELESS_FACTOR:
-                    hopeless.append(entry[2])
+                entry = entries[position]
+                remaining = entry[0] - now
+                if (ahead + 1) / rate > remaining * _OVERRUN_FACTOR:
+                    removed.append(entry[2])
                 else:
                     kept.setdefault(name, []).append(entry)
-                    place += 1
-        if hopeless:
-            # A sorted list is a heap.
-            self._callers = {name: kept.get(name, []) for name in lines}
-            self._forget_empty(len(hopeless))
-        return hopeless
+                    ahead += 1
+        if removed:
+            # A sorted list is a valid heap.
+            self._callers = {name: kept.get(name, []) for name in by_caller}
+            self._drop_empty(len(removed))
+        return removed
 
     def evict_for(self, caller):
-        """Make room for a caller with fewer requests than another.
+        """Evict a request of the caller that has the most requests queued.
 
         Returns
         -------
-        Waiting or None
-            The last of the longest line; None where the caller's own line is
-            as long as any, so that it is the one to refuse.
+        QueuedRequest or None
+            The request with the latest deadline of that caller. None if the
+            given caller would have as many requests queued itself, so that its
+            new request is the one to refuse.
         """
         longest = max(self._callers, key=lambda name: len(self._callers[name]))
         heap = self._callers[longest]
@@ -145,27 +156,27 @@
 
     def take_all(self):
         """Remove and return every request."""
-        found = [entry[2] for heap in self._callers.values() for entry in heap]
+        removed = [entry[2] for heap in self._callers.values() for entry in heap]
         self._callers.clear()
-        self._turns.clear()
+        self._rotation.clear()
         self._size = 0
-        return found
+        return removed
 
-    def _forget_empty(self, removed):
+    def _drop_empty(self, removed):
         self._size -= removed
         if not removed:
             return
         self._callers = {name: heap for name, heap in self._callers.items() if heap}
-        self._turns = deque(name for name in self._turns if name in self._callers)
+        self._rotation = deque(name for name in self._rotation if name in self._callers)
 
 
 class DrainRate:
-    """Estimate how many slots of a service come free in a second.
+    """Estimate how many slots of a service are freed per second.
 
-    Measured while requests wait. Before enough slots came free, slots in use
-    over the mean time that one is held stand in for it (Little's law); slots
-    of silent backend servers make that too high, so that the measure goes
-    first.
+    The rate is measured while requests wait. Until enough slots have been freed,
+    it is estimated as the slots in use divided by the mean time that a slot is
+    held (Little's law). Slots held by backend servers that don't respond make this
+    estimate too high, so the measured rate takes precedence.
     """
 
     __slots__ = ("_ends", "_held_seconds")
@@ -175,7 +186,16 @@
         self._ends = deque(maxlen=_WINDOW)
 
     def note_end(self, now, held_seconds, is_queued):
-        """Note a slot that came free."""
+        """Record that a slot was freed.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic seconds.
+        held_seconds : float
+        is_queued : bool
+            Whether requests wait for a slot.
+        """
         if self._held_seconds is None:
             self._held_seconds = held_seconds
         else:
@@ -183,12 +203,13 @@
         if is_queued:
             self._ends.append(now)
         else:
-            # Without a queue slots come free as seldom as requests come.
+            # Without a queue, slots are freed at the rate at which requests
+            # arrive, which says nothing about the capacity.
             self._ends.clear()
 
     def estimate(self, now, busy):
-        """Return slots a second, or None where nothing is known yet."""
-        if len(self._ends) >= _LEAST_SAMPLES and now > self._ends[0]:
+        """Return the slots freed per second, or None before any measurement."""
+        if len(self._ends) >= _MIN_SAMPLES and now > self._ends[0]:
             return len(self._ends) / (now - self._ends[0])
         if self._held_seconds and busy:
             return busy / self._held_seconds
--- a/papayapick/placer/grants.py
+++ b/papayapick/placer/grants.py
@@ -1,10 +1,10 @@
-"""Keep the slots that were given out until there is proof of their end."""
+"""Index the granted slots that are not freed yet."""
 
 __all__ = ["HeldGrant", "HeldGrants"]
 
 
 class HeldGrant:
-    """Hold one slot that was given out.
+    """Represent one granted slot.
 
     Parameters
     ----------
@@ -12,7 +12,7 @@
     granted_at : float
         Monotonic seconds.
     in_doubt_after : float
-        Monotonic seconds after which the backend server is asked about it.
+        Monotonic seconds after which the backend server is queried about the call.
     """
 
     __slots__ = ("in_doubt_after", "granted_at", "instance", "request_id", "service")
@@ -26,7 +26,7 @@
 
 
 class HeldGrants:
-    """Find grants by id and by instance, and count them by service."""
+    """Index grants by id and instance, and count them by service."""
 
     __slots__ = ("_by_id", "_by_instance", "_counts")
 
@@ -39,31 +39,31 @@
         return len(self._by_id)
 
     def add(self, grant_id, held):
-        """Note a slot that is taken."""
+        """Add a grant."""
         self._by_id[grant_id] = held
         self._by_instance.setdefault(held.instance, {})[grant_id] = held
         self._counts[held.service] = self._counts.get(held.service, 0) + 1
 
     def get(self, grant_id):
-        """Return a grant, or None where it has ended."""
+        """Return a grant, or None if its slot has been freed."""
         return self._by_id.get(grant_id)
 
     def remove(self, grant_id):
-        """Forget a grant that has ended."""
+        """Remove a grant; raise KeyError for an unknown id."""
         held = self._by_id.pop(grant_id)
         del self._by_instance[held.instance][grant_id]
         self._counts[held.service] -= 1
 
     def count(self, service):
-        """Return the slots of a service that are taken."""
+        """Return the number of taken slots of a service."""
         return self._counts.get(service, 0)
 
     def request_ids(self, instance):
-        """Return the ids of the requests that hold slots of an instance."""
+        """Return the set of ids of the requests that hold slots of an instance."""
         return {held.request_id for held in self._at(instance).values()}
 
     def in_doubt_instances(self, now):
-        """Return the instances with a grant whose end is in doubt, sorted."""
+        """Return the sorted names of the instances that have a grant in doubt."""
         return sorted(
             name
             for name, grants in self._by_instance.items()
@@ -71,14 +71,15 @@
         )
 
     def ended(self, instance, running, now):
-        """Return the doubtful grants that an instance runs no more.
+        """Return the grants in doubt whose calls an instance no longer runs.
 
         Parameters
         ----------
         instance : str
         running : collection of str
-            Ids of the requests that it says it runs.
+            Ids of the requests that the instance reports as running.
         now : float
+            Monotonic seconds.
 
         Returns
         -------
--- a/papayapick/placer/listing.py
+++ b/papayapick/placer/listing.py
@@ -1,4 +1,4 @@
-"""Group the hosts of the live list by shard, once for each list."""
+"""Group the hosts of the live host list by shard, once per list version."""
 
 import threading
 
@@ -10,12 +10,13 @@
 
 
 class HostListing:
-    """Give the hosts of a shard, and what the largest workers hold.
+    """Look up the hosts of a shard and the capacities of the workers.
 
-    A list has an entry for each worker and instance of the cell. Going through
-    it for each shard at each look costs more than all else a look does; so it
-    is done when a list is seen first. The list read last is known by its
-    identity: a list that has not changed stays the same object.
+    The live host list has an entry for each worker and instance of the cell.
+    Scanning it for each shard at each refresh would cost more than the rest of
+    the refresh, so the entries are grouped once when a list is first seen. The
+    current list is recognized by object identity, since a list that has not
+    changed stays the same object.
     """
 
     __slots__ = ("_by_shard", "_capacities", "_count", "_entries", "_lock")
@@ -45,7 +46,7 @@
             return self._by_shard.get(shard, [])
 
     def could_hold(self, demand, entries, shards_per_zone):
-        """Return whether any worker of the cell could hold a demand if empty.
+        """Return whether a demand fits any worker of the cell when it is idle.
 
         Parameters
         ----------
@@ -55,7 +56,7 @@
         """
         with self._lock:
             self._use(entries, shards_per_zone)
-            # Workers are bought in a few sizes, so this set is small.
+            # A cell has workers of few sizes, so this set is small.
             return any(demand.fits_in(capacity) for capacity in self._capacities)
 
     def _use(self, entries, shards_per_zone):
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -1,4 +1,4 @@
-"""Run the placer: own shards, grant slots, run durable work."""
+"""Assemble and run the placer, which owns shards, grants slots and runs work."""
 
 import json
 import threading
@@ -36,33 +36,34 @@
 PROGRAM = "papayapick-placer"
 _LOG = get_logger(__name__)
 _RUNNERS = 16
-_EXPIRE_SECONDS = 0.02
+_EXPIRY_INTERVAL_SECONDS = 0.02
 _IDLE_SECONDS = 5.0
-_UNLISTED_RETRY_SECONDS = 1.0
-_LOOK_SECONDS = 0.02
+_NO_HOST_LIST_RETRY_SECONDS = 1.0
+_POLL_SECONDS = 0.02
 _JOB = "job"
 
 
 class Placer:
-    """Answer gateways and other placers, and run the loops of a placer.
+    """Answer the messages of gateways and placers and run the background loops.
 
     Parameters
     ----------
     settings : Settings
+    clock : Clock, optional
     """
 
     __slots__ = (
+        "_dispatcher",
         "_handover",
         "_has_queued",
         "_health",
-        "_jobs",
         "_host_reconciler",
+        "_jobs",
         "_listing",
         "_loop",
         "_owner",
         "_process",
         "_requests",
-        "_dispatcher",
     )
 
     def __init__(self, settings, clock=None):
@@ -87,7 +88,7 @@
             self._resume,
             self._dispatcher.fail_shard_waiters,
         )
-        self._loop = WorkLoop(process, self._dispatcher, self._runner)
+        self._loop = WorkLoop(process, self._dispatcher, self._runner_of)
         self._handover = ShardHandover(process, self._owner, self._loop.running_count)
         slots = SlotClient.from_process(process)
         self._requests = RequestRunner(process, slots, instances, self._dispatcher)
@@ -106,33 +107,34 @@
         return self._owner.shards
 
     def is_ready(self):
-        """Return whether peers may send work."""
+        """Return whether a bundle is loaded and the placer is not draining."""
         return bool(self._process.watcher.sequence) and not self._process.is_draining
 
     def addresses(self):
-        """Return what the process listens on, for its log."""
+        """Return the listening addresses by protocol, for the log."""
         host, port = self._process.peer_server.address
         return {"http": self._health.address, "peer": f"{host}:{port}"}
 
     def start(self):
-        """Start every task."""
+        """Start the health and peer servers and the background loops."""
         process = self._process
         self._health.start()
         process.start()
         process.loop(self.update_ownership, process.settings.poll_seconds)
         process.loop(self.refresh_hosts, process.settings.poll_seconds)
-        process.loop(self._expire, _EXPIRE_SECONDS)
-        process.loop(self._answer_overdue, _EXPIRE_SECONDS)
+        process.loop(self._expire_waiting, _EXPIRY_INTERVAL_SECONDS)
+        process.loop(self._answer_overdue, _EXPIRY_INTERVAL_SECONDS)
         process.loop(self._renew, process.settings.task_lease_seconds / 20)
         for _ in range(_RUNNERS):
             process.loop(self._loop.step, 0)
 
     def stop(self):
-        """Let what runs end, hand the shards over, and close.
+        """Drain, hand over the shards, and close.
 
-        A shard is served until the runs of its durable work that are in hand
-        have ended, and only those: the next owner starts the rest. Then what
-        still comes here is passed on for as long as gateways may send it.
+        A shard is served until the runs of its durable work that this process
+        has started have ended; the next owner starts the rest. Afterwards,
+        requests that still arrive here are forwarded for as long as gateways may
+        not know the new owner.
         """
         process = self._process
         process.is_draining = True
@@ -140,7 +142,7 @@
         deadline = clock.monotonic() + process.settings.drain_seconds
         while self.shards and clock.monotonic() < deadline:
             self._handover.hand_over_idle_shards()
-            clock.wait(process.is_stopping, _LOOK_SECONDS)
+            clock.wait(process.is_stopping, _POLL_SECONDS)
         for shard in self.shards:
             self._handover.hand_over(shard, force=True)
         if self._handover.summaries():
@@ -149,13 +151,30 @@
         process.close()
 
     def handle(self, payload, peer, traceparent):
-        """Answer one message of a peer."""
+        """Handle one message of a peer and return the answer.
+
+        Parameters
+        ----------
+        payload : Payload
+        peer : object
+            The connection of the sender; not used.
+        traceparent : str
+
+        Returns
+        -------
+        Payload, concurrent.futures.Future or None
+            None where the message has no answer.
+
+        Raises
+        ------
+        PlacerError, ShardNotOwned, OwnershipUnconfirmed
+        """
         if isinstance(payload, Handover):
             return self._handover.receive(payload)
         if self._owner.get(payload.shard) is None:
-            passed = self._handover.forward(payload, traceparent)
-            if passed is not None:
-                return None if isinstance(payload, Release) else passed
+            forwarded = self._handover.forward(payload, traceparent)
+            if forwarded is not None:
+                return None if isinstance(payload, Release) else forwarded
         if isinstance(payload, Release):
             self._release(payload)
             return None
@@ -175,13 +194,13 @@
         return None
 
     def update_ownership(self):
-        """Confirm the owned shards and take those that this placer should serve."""
+        """Confirm the owned shards and claim those that this placer should serve."""
         self._owner.update_ownership()
         if not self._process.is_draining:
             self._handover.return_to_preferred()
 
     def refresh_hosts(self):
-        """Bring the hosts of the owned shards in step with the live list."""
+        """Synchronize the hosts of the owned shards with the live host list."""
         process = self._process
         if not process.watcher.sequence:
             return
@@ -196,45 +215,45 @@
 
     def _resume(self, shard):
         for item in shard.book.items:
-            runner = self._runner(item)
+            runner = self._runner_of(item)
             if item.state == "waiting":
                 self._dispatcher.enqueue(shard, item)
             elif item.state == "running":
                 runner.recover(shard, item)
 
-    def _grant(self, shard, wanted):
+    def _grant(self, shard, request):
         shard.check_serving()
-        policy = self._process.watcher.bundle.services.get(wanted.service)
+        policy = self._process.watcher.bundle.services.get(request.service)
         limit = policy.waiting_limit if policy else 0
         with self._process.metrics.decision_seconds.time():
-            granted = shard.slot_allocator.request(wanted, limit)
+            granted = shard.slot_allocator.request(request, limit)
         if isinstance(granted, Future):
             self._has_queued.set()
         return granted
 
-    def _submit(self, shard, wanted):
+    def _submit(self, shard, submission):
         shard.check_serving()
         bundle = self._process.watcher.bundle
-        if wanted.kind == _JOB:
-            policy = bundle.jobs[wanted.name]
-            self._check_job_fits(shard, wanted)
+        if submission.kind == _JOB:
+            policy = bundle.jobs[submission.name]
+            self._check_job_fits(shard, submission)
         else:
-            policy = bundle.services[wanted.name]
-        return self._dispatcher.submit(shard, wanted, policy)
+            policy = bundle.services[submission.name]
+        return self._dispatcher.submit(shard, submission, policy)
 
-    def _check_job_fits(self, shard, wanted):
-        job = json.loads(wanted.job)
+    def _check_job_fits(self, shard, submission):
+        job = json.loads(submission.job)
         demand = Amounts.from_mapping(job["demand"])
         entries = self._process.peers.entries
         if not entries:
-            # The live list was not read yet. "Never" is final for a caller, and
-            # with no worker known it would be said of every job.
-            raise ShardClosed(shard=shard.name, retry_after=_UNLISTED_RETRY_SECONDS)
+            # The live host list has not been read yet. NeverFits is final for a
+            # caller, and with no worker known it would be raised for every job.
+            raise ShardClosed(shard=shard.name, retry_after=_NO_HOST_LIST_RETRY_SECONDS)
         if not self._listing.could_hold(demand, entries, self._shards_per_zone()):
             raise NeverFits(demand=demand)
         members = job["members"]
         if not shard.hosts.could_hold(demand, members):
-            # It would wait for its deadline: a job stays within its shard.
+            # A job stays within its shard, so it would wait until its deadline.
             raise JobNeverFits(shard=shard.name, members=members, demand=demand)
 
     def _query(self, shard, query):
@@ -251,8 +270,9 @@
                 released.grant_id, released.outcome, released.run_microseconds / 1e6
             )
 
-    def _expire(self):
-        # Cleared before the look: what queues meanwhile sets it again.
+    def _expire_waiting(self):
+        # Cleared before the queues are checked, so that a request that is queued
+        # during the check sets the event again.
         self._process.clock.wait(self._has_queued, _IDLE_SECONDS)
         self._has_queued.clear()
         for shard in self.shards:
@@ -268,7 +288,7 @@
         for shard in self.shards:
             self._jobs.renew(shard)
 
-    def _runner(self, item):
+    def _runner_of(self, item):
         return self._jobs if item.accepted.work == _JOB else self._requests
 
     def _summaries(self):
--- a/papayapick/placer/program.py
+++ b/papayapick/placer/program.py
@@ -24,7 +24,7 @@
 
 
 def main():
-    """Run the placer until it is told to stop."""
+    """Run the placer until it is asked to stop."""
     run_program(USAGE, PLACER, Placer.from_config)
 
 
--- a/papayapick/placer/service_queue.py
+++ b/papayapick/placer/service_queue.py
@@ -1,4 +1,4 @@
-"""Decide who may wait for a slot of one service, and who is refused."""
+"""Admit requests to the queue for the slots of one service, or refuse them."""
 
 from papayapick.placer.exceptions import SlotWaitExpired, WaitingQueueFull, WaitTooLong
 from papayapick.placer.fair_queue import DrainRate, FairQueue
@@ -6,75 +6,84 @@
 __all__ = ["ServiceQueue"]
 
 _DEFAULT_RETRY_SECONDS = 0.5
-_LEAST_RETRY_SECONDS = 0.1
-_LONGEST_RETRY_SECONDS = 30.0
+_MIN_RETRY_SECONDS = 0.1
+_MAX_RETRY_SECONDS = 30.0
 
 
 class ServiceQueue:
-    """Queue the requests for one service while their wait can end well.
+    """Queue the requests for one service that can be served in time.
 
-    In all methods ``busy`` is the number of the service's slots in use.
+    In all methods ``now`` is in monotonic seconds and ``busy`` is the number of
+    the service's slots in use.
 
     Parameters
     ----------
     name : str
-        Of the service.
+        Name of the service.
     generator : random.Random
-        Spreads the moments at which refused callers come back.
+        Adds jitter to the retry delays of refused callers.
     """
 
-    __slots__ = ("_drain", "_generator", "_name", "queue")
+    __slots__ = ("_drain_rate", "_generator", "_name", "requests")
 
     def __init__(self, name, generator):
-        self.queue = FairQueue()
+        self.requests = FairQueue()
         self._name = name
         self._generator = generator
-        self._drain = DrainRate()
+        self._drain_rate = DrainRate()
 
     def note_end(self, now, held_seconds):
-        """Note a slot that came free."""
-        self._drain.note_end(now, held_seconds, bool(len(self.queue)))
+        """Record that a slot was freed after it was held for some seconds."""
+        self._drain_rate.note_end(now, held_seconds, bool(len(self.requests)))
 
     def check_wait(self, caller, wait_seconds, now, busy):
-        """Raise where waiting can't end well: better refused now than late.
+        """Raise if a new request could not be served within its wait.
+
+        A caller that is refused on arrival can still retry, while one that is
+        refused at its deadline can't.
 
         Raises
         ------
-        WaitOver, WaitTooLong
+        SlotWaitExpired
+            The request does not wait.
+        WaitTooLong
+            The estimated wait exceeds the time that the request may wait.
         """
         if not wait_seconds:
             raise SlotWaitExpired(
                 service=self._name, retry_after=self._retry_after(now, busy)
             )
-        rate = self._drain.estimate(now, busy)
+        rate = self._drain_rate.estimate(now, busy)
         if not rate:
             return
-        if (self.queue.ahead_of(caller) + 1) / rate > wait_seconds:
+        if (self.requests.ahead_of(caller) + 1) / rate > wait_seconds:
             raise WaitTooLong(
                 service=self._name, retry_after=self._retry_after(now, busy)
             )
 
     def make_room(self, caller, waiting_limit, now, busy):
-        """Evict a request where the queue is full.
+        """Evict a request if the queue is full.
 
         Returns
         -------
         list of (concurrent.futures.Future, PlacerError)
+            Future and error of the evicted request; empty if there was room.
 
         Raises
         ------
-        WaitingFull
-            None may be evicted for this caller.
+        WaitingQueueFull
+            No request may be evicted for this caller.
         """
-        if len(self.queue) < waiting_limit:
+        if len(self.requests) < waiting_limit:
             return []
         victim = None
         if waiting_limit:
-            # One caller's flood must not keep the others out of the queue.
-            victim = self.queue.evict_for(caller)
+            # Without eviction, a burst of one caller would fill the queue and
+            # all other callers would be refused.
+            victim = self.requests.evict_for(caller)
         error = WaitingQueueFull(
             service=self._name,
-            waiting=len(self.queue),
+            waiting=len(self.requests),
             retry_after=self._retry_after(now, busy),
         )
         if victim is None:
@@ -82,37 +91,39 @@
         return [(victim.future, error)]
 
     def remove_expired(self, now, busy):
-        """Remove requests whose time is over; return futures and errors."""
-        return self._wait_over(self.queue.remove_expired(now), now, busy)
+        """Remove requests past their deadline; return their futures and errors."""
+        return self._with_expiry_errors(self.requests.remove_expired(now), now, busy)
 
     def remove_unservable(self, now, busy):
-        """Remove requests whose time can't suffice; return futures and errors."""
-        rate = self._drain.estimate(now, busy)
+        """Remove requests that can't be served in time; return futures and errors."""
+        rate = self._drain_rate.estimate(now, busy)
         if not rate:
             return []
-        return self._wait_over(self.queue.remove_unservable(now, rate), now, busy)
+        return self._with_expiry_errors(
+            self.requests.remove_unservable(now, rate), now, busy
+        )
 
-    def _wait_over(self, removed, now, busy):
+    def _with_expiry_errors(self, removed, now, busy):
         return [
             (
-                waiting.future,
+                queued.future,
                 SlotWaitExpired(
                     service=self._name, retry_after=self._retry_after(now, busy)
                 ),
             )
-            for waiting in removed
+            for queued in removed
         ]
 
     def _retry_after(self, now, busy):
-        """Return when the present queue should be gone, spread out.
+        """Return the seconds until the queue has drained, with jitter.
 
-        Callers refused together would come back together, and find it full
-        again.
+        Without jitter, callers that were refused together would retry together
+        and find the queue full again.
         """
-        rate = self._drain.estimate(now, busy)
+        rate = self._drain_rate.estimate(now, busy)
         if rate:
-            seconds = (len(self.queue) + 1) / rate
+            seconds = (len(self.requests) + 1) / rate
         else:
             seconds = _DEFAULT_RETRY_SECONDS
-        seconds = max(_LEAST_RETRY_SECONDS, seconds) * (1 + self._generator.random())
-        return min(_LONGEST_RETRY_SECONDS, seconds)
+        seconds = max(_MIN_RETRY_SECONDS, seconds) * (1 + self._generator.random())
+        return min(_MAX_RETRY_SECONDS, seconds)
--- a/papayapick/placer/shards.py
+++ b/papayapick/placer/shards.py
@@ -1,4 +1,4 @@
-"""Hold one shard while this process owns it."""
+"""The state of one shard while this process owns it."""
 
 from papayapick.estimates import ObservedQuantile
 from papayapick.journal import Journal, WorkBook
@@ -11,22 +11,23 @@
 
 __all__ = ["OUTCOME_RETENTION_SECONDS", "Shard"]
 
-# A key is remembered for so long after its request has ended; a repeat after
-# that runs anew. Longer than the longest timeout of a policy (two days).
+# An idempotency key is retained this long after its request has ended; a repeat
+# after that runs again. Longer than the longest timeout of a policy (two days).
 OUTCOME_RETENTION_SECONDS = 3 * 24 * 3600
 
 
 class Shard:
-    """Keep ledger, queue, journal and work of one shard at one epoch.
+    """Hold the ledgers, queues, journal and durable work of one shard.
 
     Parameters
     ----------
     row : ShardRow
-        As claimed.
+        The row as it was claimed, with this process as the owner.
     process : Process
     journal_bucket : TokenBucket
+        Limits the journal writes of the process.
     on_fenced : callable
-        Called with the shard when a newer owner is met.
+        Called with the shard when a newer owner has fenced it.
     """
 
     __slots__ = (
@@ -76,7 +77,7 @@
         self.entries = {}
         self._clock = process.clock
         self._objects = process.objects
-        # Set while the shard is about to be handed over: nothing is started.
+        # No work is started while the shard is about to be handed over.
         self.is_handing_over = False
         self._pauses = process.pauses
         self._confirmed_pauses = process.pauses.count()
@@ -94,7 +95,7 @@
 
     @property
     def is_closed(self):
-        """Return whether the shard takes no new work."""
+        """Return whether the shard accepts no new work."""
         return self._is_closed
 
     @property
@@ -103,14 +104,14 @@
         return self._pauses.count() != self._confirmed_pauses
 
     def check_serving(self):
-        """Raise where nothing may be decided now.
+        """Raise if the shard may make no decisions at present.
 
         Raises
         ------
         ShardClosed
-            The shard is being handed over.
+            The shard is being handed over or has another owner.
         OwnershipUnconfirmed
-            The process was paused; a newer owner may have fenced it.
+            The process was paused and a newer owner may have fenced it.
         """
         if self._is_closed:
             raise ShardClosed(shard=self.name, retry_after=0.05)
@@ -118,38 +119,44 @@
             raise OwnershipUnconfirmed(shard=self.name)
 
     def confirm(self, pauses):
-        """Note that the table named this owner after so many pauses."""
+        """Record a confirmation of the ownership by the table.
+
+        Parameters
+        ----------
+        pauses : int
+            Pauses of the process counted before the table was read.
+        """
         self._confirmed_pauses = pauses
 
     def close(self):
-        """Take no more work, refuse what waits and end the journal."""
+        """Stop admission, refuse queued requests and close the journal."""
         self._is_closed = True
         self.slot_allocator.refuse_all(ShardClosed(shard=self.name, retry_after=0.05))
         self.journal.close()
 
     def stop_admission(self):
-        """Take no new work; what runs goes on to its end."""
+        """Accept no new work and refuse queued requests; running work continues."""
         self._is_closed = True
         self.slot_allocator.refuse_all(ShardClosed(shard=self.name, retry_after=0.05))
 
     def resume_admission(self):
-        """Take work again: the shard could not be given away."""
+        """Accept work again after a handover that failed."""
         self.is_handing_over = False
         self._is_closed = False
 
     def summary(self):
-        """Return what peers are told of this shard."""
+        """Return the summary of this shard that heartbeats carry."""
         return ShardSummary(
             shard=self.name, epoch=self.epoch, loads=self.slot_allocator.loads()
         )
 
     def add_worker(self, entry):
-        """Add a closed worker of the live list."""
+        """Add a worker of the live host list, closed to work."""
         self.entries[entry.name] = entry
         self.hosts.add(entry.name, Amounts.from_mapping(entry.capacity))
 
     def add_instance(self, entry):
-        """Add a closed instance of the live list."""
+        """Add an instance of the live host list, closed to work."""
         self.entries[entry.name] = entry
         self.slot_allocator.with_ledger(
             lambda ledger: ledger.add(
@@ -162,7 +169,7 @@
         )
 
     def use_journal(self, state):
-        """Take over the work that an earlier owner journaled."""
+        """Load the work and journal position of an earlier owner."""
         self.book = state.book
         self.journal.go_on_from(state)
 
@@ -170,12 +177,13 @@
         self.book.apply(record)
 
     def _compact(self):
-        """Fold the journal where that is due; runs in the journal's own task.
+        """Compact the journal if that is due.
 
-        So the book holds exactly what the segments written so far say.
+        The journal calls this from its own thread between two segments, so that
+        the loaded work corresponds exactly to the segments written so far.
         """
         if not self.journal.is_compaction_due(len(self.book)):
             return
         self.book.forget_before(self._clock.time() - OUTCOME_RETENTION_SECONDS)
-        records = [one for item in self.book.items for one in item.records()]
+        records = [record for item in self.book.items for record in item.records()]
         self.journal.compact(self._objects, records)
--- a/papayapick/placer/slots.py
+++ b/papayapick/placer/slots.py
@@ -1,4 +1,4 @@
-"""Grant slots, and queue requests for a while when there are none."""
+"""Allocate the slots of backend servers and queue requests while none is free."""
 
 import itertools
 import random
@@ -14,15 +14,16 @@
 
 __all__ = ["SlotAllocator"]
 
-_GRANT_MARGIN = 1.0
+_GRANT_MARGIN_SECONDS = 1.0
 _DONE, _LEAVING, _UNKNOWN = "done", "leaving", "unknown"
 
 
 class SlotAllocator:
-    """Give out the slots of one shard.
+    """Grant the slots of one shard.
 
-    A slot counts as taken until there is proof of its end: a release after a
-    whole answer, or the backend server's word that the request runs no more.
+    A slot counts as taken until there is proof that its call has ended: a release
+    after a complete answer, or a report of the backend server that does not list
+    the request any more.
 
     Parameters
     ----------
@@ -32,19 +33,19 @@
     policy : InstancePolicy
     clock : Clock
     generator : random.Random, optional
-        Spreads the moments at which refused callers come back.
+        Adds jitter to the retry delays of refused callers.
     """
 
     __slots__ = (
         "_clock",
         "_epoch",
         "_generator",
+        "_grant_ids",
         "_held",
         "_ledger",
-        "_lines",
         "_lock",
-        "_numbers",
         "_policy",
+        "_queues",
         "_shard",
     )
 
@@ -55,70 +56,71 @@
         self._policy = policy
         self._clock = clock
         self._generator = generator or random.Random()
-        self._numbers = itertools.count(1)
+        self._grant_ids = itertools.count(1)
         self._held = HeldGrants()
-        self._lines = {}
+        self._queues = {}
         self._lock = threading.Lock()
 
-    def request(self, wanted, waiting_limit):
-        """Grant a slot now or queue for one.
+    def request(self, request, waiting_limit):
+        """Grant a slot now or queue the request for one.
 
         Parameters
         ----------
-        wanted : SlotRequest
+        request : SlotRequest
         waiting_limit : int
-            Most requests that may wait for the service.
+            Maximum number of queued requests of the service.
 
         Returns
         -------
-        SlotGrant or concurrent.futures.Future
+        SlotGrant or concurrent.futures.Future of SlotGrant
 
         Raises
         ------
-        ServiceUnknown, WaitingFull, WaitOver, WaitTooLong
+        ServiceUnknown, WaitingQueueFull, SlotWaitExpired, WaitTooLong
         """
         now = self._clock.monotonic()
-        wait_seconds = (wanted.wait_milliseconds or 0) / 1000
+        wait_seconds = (request.wait_milliseconds or 0) / 1000
         with self._lock:
-            if not self._ledger.instances(wanted.service):
-                raise ServiceUnknown(shard=self._shard, service=wanted.service)
-            line = self._line(wanted.service)
-            if not len(line.queue):
-                grant = self._grant(wanted, now)
+            if not self._ledger.instances(request.service):
+                raise ServiceUnknown(shard=self._shard, service=request.service)
+            queue = self._queue(request.service)
+            if not len(queue.requests):
+                grant = self._grant(request, now)
                 if grant is not None:
                     return grant
-            busy = self._held.count(wanted.service)
-            caller = wanted.caller or ""
-            line.check_wait(caller, wait_seconds, now, busy)
-            evicted = line.make_room(caller, waiting_limit, now, busy)
-            waiting = QueuedRequest(Future(), now + wait_seconds, wanted)
-            line.queue.add(waiting)
+            busy = self._held.count(request.service)
+            caller = request.caller or ""
+            queue.check_wait(caller, wait_seconds, now, busy)
+            evicted = queue.make_room(caller, waiting_limit, now, busy)
+            queued = QueuedRequest(Future(), now + wait_seconds, request)
+            queue.requests.add(queued)
         _settle(evicted)
-        return waiting.future
+        return queued.future
 
     def release(self, grant_id, outcome=_DONE, run_seconds=0.0):
-        """Hear what became of a call, and take its slot back on proof of its end.
+        """Record the outcome of a call and free its slot unless it is in doubt.
 
         Parameters
         ----------
         grant_id : int
         outcome : {"done", "leaving", "failed", "unknown", "unused", ...}
             After ``unknown`` the call may still run: a caller that stopped
-            waiting proves nothing, and a slot given out again would put more
-            on the backend server than it holds. The slot stays taken until
-            the backend server is asked.
+            waiting does not prove its end, and a slot granted again too early
+            would overload the backend server. The slot stays taken until the
+            backend server reports that the call has ended.
         run_seconds : float
         """
         now = self._clock.monotonic()
         with self._lock:
             held = self._held.get(grant_id)
             if held is None:
-                # Released twice, or reconciled with the backend server before
-                # the release came.
+                # Released twice, or freed by a reconciliation with the backend
+                # server before the release arrived.
                 return
             self._policy.ended(grant_id, outcome, run_seconds)
             if outcome == _LEAVING:
-                # The live list lags; the backend server's own word does not.
+                # The live host list lags behind the backend server's own
+                # announcement.
                 self._ledger.close(held.instance)
             if outcome == _UNKNOWN:
                 held.in_doubt_after = now
@@ -128,13 +130,13 @@
         _settle(settled)
 
     def reconcile(self, instance, running):
-        """Take back doubtful slots of calls that a backend server runs no more.
+        """Free the slots in doubt whose calls a backend server no longer runs.
 
         Parameters
         ----------
         instance : str
         running : list of str
-            Ids of the requests that it says it runs.
+            Ids of the requests that the backend server reports as running.
         """
         now = self._clock.monotonic()
         settled = []
@@ -148,39 +150,44 @@
         _settle(settled)
 
     def expire(self):
-        """Refuse at once those whose time is over or can't suffice any more."""
+        """Refuse queued requests that have expired or can't be served in time."""
         now = self._clock.monotonic()
         refused = []
         with self._lock:
-            for name, line in self._lines.items():
-                if not len(line.queue):
+            for name, queue in self._queues.items():
+                if not len(queue.requests):
                     continue
                 busy = self._held.count(name)
-                refused += line.remove_expired(now, busy)
-                refused += line.remove_unservable(now, busy)
+                refused += queue.remove_expired(now, busy)
+                refused += queue.remove_unservable(now, busy)
         _settle(refused)
 
     def serve_waiting(self):
-        """Hand out slots that came free without a release."""
+        """Grant free slots to queued requests, for slots freed without a release."""
         now = self._clock.monotonic()
         settled = []
         with self._lock:
-            for name in self._lines:
+            for name in self._queues:
                 settled += self._serve(name, now)
         _settle(settled)
 
     def refuse_all(self, error):
-        """Refuse every request that waits, with a typed error."""
+        """Refuse every queued request with an error.
+
+        Parameters
+        ----------
+        error : PlacerError
+        """
         with self._lock:
-            found = [
-                waiting
-                for line in self._lines.values()
-                for waiting in line.queue.take_all()
+            refused = [
+                queued
+                for queue in self._queues.values()
+                for queued in queue.requests.take_all()
             ]
-        _settle([(waiting.future, error) for waiting in found])
+        _settle([(queued.future, error) for queued in refused])
 
     def restore(self, instance, running):
-        """Count calls that the backend server says it runs.
+        """Mark slots as taken for calls that a backend server reports as running.
 
         Parameters
         ----------
@@ -193,7 +200,8 @@
             service = self._service_of(instance)
             known = self._held.request_ids(instance)
             for request_id in running:
-                # After a return from leaving, some are this owner's grants.
+                # When an instance returns after it announced that it leaves, some
+                # of its calls are grants of this owner.
                 if request_id in known:
                     continue
                 self._ledger.restore(instance, request_id)
@@ -201,7 +209,7 @@
                 self._held.add(request_id, held)
 
     def in_doubt_instances(self):
-        """Return the instances to ask about calls whose end is in doubt.
+        """Return the instances with calls whose end is in doubt.
 
         Returns
         -------
@@ -212,32 +220,32 @@
             return self._held.in_doubt_instances(now)
 
     def loads(self):
-        """Return the load of each service, for heartbeats."""
+        """Return the load of each service, as heartbeats report it."""
         with self._lock:
             return [
                 ServiceLoad(
                     service=name,
                     free_slots=self._policy.free_slots(self._ledger, name),
-                    waiting=len(self._line(name).queue),
+                    waiting=len(self._queue(name).requests),
                 )
                 for name in self._ledger.services()
             ]
 
     def held_count(self):
-        """Return the number of slots given out."""
+        """Return the number of granted slots that are not freed."""
         with self._lock:
             return len(self._held)
 
     def with_ledger(self, change):
-        """Run a change of the ledger under the desk's lock."""
+        """Call ``change`` with the slot ledger under the lock; return its result."""
         with self._lock:
             return change(self._ledger)
 
-    def _line(self, name):
-        found = self._lines.get(name)
-        if found is None:
-            found = self._lines[name] = ServiceQueue(name, self._generator)
-        return found
+    def _queue(self, name):
+        queue = self._queues.get(name)
+        if queue is None:
+            queue = self._queues[name] = ServiceQueue(name, self._generator)
+        return queue
 
     def _service_of(self, instance):
         return next(
@@ -246,25 +254,25 @@
             if instance in self._ledger.instances(name)
         )
 
-    def _grant(self, wanted, now):
-        avoid = wanted.avoid or ()
-        name = self._policy.choose(self._ledger, wanted.service, avoid)
+    def _grant(self, request, now):
+        avoid = request.avoid or ()
+        name = self._policy.choose(self._ledger, request.service, avoid)
         if name is None:
             return None
-        grant_id = next(self._numbers)
+        grant_id = next(self._grant_ids)
         try:
             self._ledger.take(name, grant_id)
         except LedgerError:
             return None
         # The gateway may use the grant until its longest wait and the use window
-        # are over, which may be later than a short run's upper bound: asked
-        # before, the backend server would not know of the call yet, and the
-        # slot would go to a second one.
-        longest = max(wanted.run_milliseconds, wanted.wait_milliseconds or 0) / 1000
-        in_doubt_after = now + longest + _GRANT_MARGIN
-        held = HeldGrant(name, wanted.service, wanted.request_id, now, in_doubt_after)
+        # are over, which may be later than the upper bound of a short run. A
+        # backend server that is queried before then does not know the call yet,
+        # and its slot would be granted a second time.
+        longest = max(request.run_milliseconds, request.wait_milliseconds or 0) / 1000
+        in_doubt_after = now + longest + _GRANT_MARGIN_SECONDS
+        held = HeldGrant(name, request.service, request.request_id, now, in_doubt_after)
         self._held.add(grant_id, held)
-        self._policy.granted(wanted.service, name, grant_id)
+        self._policy.granted(request.service, name, grant_id)
         return SlotGrant(
             grant_id=grant_id,
             shard=self._shard,
@@ -275,28 +283,35 @@
 
     def _free(self, grant_id, held, now):
         self._held.remove(grant_id)
-        self._line(held.service).note_end(now, now - held.granted_at)
+        self._queue(held.service).note_end(now, now - held.granted_at)
         try:
             self._ledger.give_back(grant_id)
         except ReservationUnknown:
-            # The instance was removed meanwhile, and its slots with it.
+            # The instance and its slots were removed while the call ran.
             return
 
     def _serve(self, name, now):
-        """Give free slots to those whose turn it is; refuse the expired."""
-        line = self._line(name)
-        settled = line.remove_expired(now, self._held.count(name))
-        while (first := line.queue.first()) is not None:
-            grant = self._grant(first.wanted, now)
+        """Refuse the expired requests of a service and grant free slots in order.
+
+        Returns
+        -------
+        list of (concurrent.futures.Future, SlotGrant or PlacerError)
+            To be settled outside the lock.
+        """
+        queue = self._queue(name)
+        settled = queue.remove_expired(now, self._held.count(name))
+        while (first := queue.requests.first()) is not None:
+            grant = self._grant(first.request, now)
             if grant is None:
                 break
-            line.queue.take_first()
+            queue.requests.take_first()
             settled.append((first.future, grant))
         return settled
 
 
 def _settle(settled):
-    # Outside the lock: a future's callbacks send to peers and may take time.
+    # Called outside the lock, since the callbacks of a future send to peers and
+    # may take time.
     for future, result in settled:
         if isinstance(result, SlotGrant):
             future.set_result(result)
