--- a/papayapick/placer/exceptions.py
+++ b/papayapick/placer/exceptions.py
@@ -16,66 +16,66 @@
 
 
 class PlacerError(RetryAfter, PapayapickError):
-    """Stand for any refusal by a placer; the work did not run."""
+    """Base class of the errors of a placer; by default the work did not run."""
 
     code = "placer.error"
     outcome = "not_run"
 
 
 class WaitingQueueFull(PlacerError):
-    """Report a service whose queue is full."""
+    """Report that the queue for the slots of a service is full."""
 
     code = "placer.waiting-full"
-    template = "{waiting} requests wait for {service} already"
+    template = "the queue for {service} is full with {waiting} requests"
 
 
 class SlotWaitExpired(PlacerError):
-    """Report a request that got no slot within the time it could wait."""
+    """Report that a request got no slot within its wait."""
 
     code = "placer.wait-over"
-    template = "no slot of {service} came free in time"
+    template = "no slot of {service} was free within the wait"
 
 
 class WaitTooLong(PlacerError):
-    """Report a queue that moves too slowly for the request's deadline."""
+    """Report that the estimated wait exceeds the wait of the request."""
 
     code = "placer.wait-too-long"
-    template = "the wait for {service} would pass the deadline"
+    template = "the estimated wait for {service} exceeds the deadline"
 
 
 class ShardClosed(PlacerError):
-    """Report a shard whose owner is still taking the inventory, or draining."""
+    """Report that a shard accepts no work, such as during a handover."""
 
     code = "placer.shard-closed"
-    template = "shard {shard} takes no work now"
+    template = "shard {shard} accepts no work at present"
 
 
 class ServiceUnknown(PlacerError):
-    """Report a service that no instance of the shard serves."""
+    """Report that no instance of the shard serves a service."""
 
     code = "placer.service-unknown"
     template = "shard {shard} has no instance of {service}"
 
 
 class OutcomeUnsettled(PlacerError):
-    """Report work whose outcome a newer owner has to settle."""
+    """Report that only a newer owner can determine the outcome of work."""
 
     code = "placer.outcome-unsettled"
-    template = "the outcome is left to a newer owner ({cause})"
+    template = "a newer owner has to determine the outcome ({cause})"
     outcome = "unknown"
 
 
 class ResultUnreadable(PlacerError):
-    """Report work that has ended, whose result can't be read just now."""
+    """Report that work has ended and its result can't be read at present."""
 
     code = "placer.result-unreadable"
-    template = "request {request_id} has ended; its result can't be read now"
+    template = "request {request_id} has ended; its result can't be read at present"
     outcome = "unknown"
 
 
 class WorkMoved(PlacerError):
-    """Report work that was taken on and has gone to another owner."""
+    """Report that admitted work has moved to another owner."""
 
     code = "placer.work-moved"
-    template = "request {request_id} goes on under another owner"
+    template = "request {request_id} has moved to another owner"
     outcome = "unknown"
--- a/papayapick/placer/explanations.py
+++ b/papayapick/placer/explanations.py
@@ -9,14 +9,14 @@
 
 
 class Reason:
-    """Hold one reason for the state of a request.
+    """Represent one reason for the state of a request.
 
     Parameters
     ----------
     code : str
-        Stable, such as ``waits.no-room``.
+        Stable code for programs, such as ``waits.for-room``.
     text : str
-        For people.
+        Explanation for people.
     """
 
     __slots__ = ("code", "text")
@@ -26,7 +26,7 @@
         self.text = text
 
     def as_mapping(self):
-        """Return the reason for programs."""
+        """Return the reason as a mapping for JSON."""
         return {"code": self.code, "text": self.text}
 
 
@@ -41,7 +41,7 @@
     Parameters
     ----------
     shard : Shard
-        The shard as its owner holds it.
+        State of the shard at its owner.
     item : WorkItem
 
     Returns
@@ -55,7 +55,7 @@
         return [Reason("ended." + ended.outcome.replace("_", "-"), text)]
     if item.state == RUNNING:
         return [_placed(item, place) for place in item.started.places]
-    return _hindrances(shard) + _shortage(shard, item)
+    return _shard_reasons(shard) + _capacity_reasons(shard, item)
 
 
 def _placed(item, place):
@@ -63,32 +63,37 @@
     return Reason("placed.on", text)
 
 
-def _hindrances(shard):
-    found = []
+def _shard_reasons(shard):
+    reasons = []
     if shard.is_closed:
-        found.append(Reason("waits.shard-closed", f"{shard.name} is handed over"))
+        reasons.append(
+            Reason("waits.shard-closed", f"{shard.name} is being handed over")
+        )
     if shard.needs_confirmation:
-        text = "its owner was paused and confirms its ownership first"
-        found.append(Reason("waits.ownership-unconfirmed", text))
+        text = "the owner's process was paused and has to confirm its ownership"
+        reasons.append(Reason("waits.ownership-unconfirmed", text))
     if not shard.journal.is_available:
-        text = "the table does not answer, so that no start can be recorded"
-        found.append(Reason("waits.journal-unavailable", text))
-    return found
+        text = "the table does not answer, so no start can be recorded"
+        reasons.append(Reason("waits.journal-unavailable", text))
+    return reasons
 
 
-def _shortage(shard, item):
+def _capacity_reasons(shard, item):
     if item.accepted.job:
-        return [_job_shortage(shard, item.accepted.job), *_turn(shard, item)]
+        return [
+            _room_reason(shard, item.accepted.job),
+            *_reservation_reasons(shard, item),
+        ]
     loads = {load.service: load for load in shard.slot_allocator.loads()}
     load = loads.get(item.accepted.name)
     if load is None:
-        text = f"{shard.name} has no instance; another shard is asked for a slot"
+        text = f"{shard.name} has no instance; a slot of another shard is requested"
         return [Reason("waits.no-instance", text)]
-    text = f"{load.free_slots} slots free here, {load.waiting} requests wait for one"
+    text = f"{load.free_slots} slots free here, {load.waiting} requests in the queue"
     return [Reason("waits.for-slot", text)]
 
 
-def _job_shortage(shard, job):
+def _room_reason(shard, job):
     demand = Amounts.from_mapping(job["demand"])
     if not shard.hosts.could_hold(demand):
         text = f"no host of {shard.name} is large enough for {demand}"
@@ -97,16 +102,16 @@
     fitting = sum(demand.fits_in(shard.hosts.free(name)) for name in hosts)
     text = (
         f"{job['members']} members need {demand} each; {fitting} of {len(hosts)} "
-        "open hosts have room for one now"
+        "open hosts have room for one member now"
     )
     return Reason("waits.for-room", text)
 
 
-def _turn(shard, item):
+def _reservation_reasons(shard, item):
     promised = shard.jobs.promised
     if promised is None:
         return []
     if promised == item.request_id:
-        return [Reason("waits.promised", "room is held for it; no other delays it")]
-    text = f"room is held for {promised}; others start only where they don't delay it"
+        return [Reason("waits.promised", "room is reserved; no other job delays it")]
+    text = f"room is reserved for {promised}; other jobs must not delay it"
     return [Reason("waits.behind-promise", text)]
--- a/papayapick/placer/fair_queue.py
+++ b/papayapick/placer/fair_queue.py
@@ -39,7 +39,7 @@
 class FairQueue:
     """Serve callers round-robin, and each caller's requests by earliest deadline."""
 
-    __slots__ = ("_callers", "_sequence", "_size", "_rotation")
+    __slots__ = ("_callers", "_rotation", "_sequence", "_size")
 
     def __init__(self):
         self._callers = {}
--- a/papayapick/placer/grants.py
+++ b/papayapick/placer/grants.py
@@ -15,7 +15,7 @@
         Monotonic seconds after which the backend server is queried about the call.
     """
 
-    __slots__ = ("in_doubt_after", "granted_at", "instance", "request_id", "service")
+    __slots__ = ("granted_at", "in_doubt_after", "instance", "request_id", "service")
 
     def __init__(self, instance, service, request_id, granted_at, in_doubt_after):
         self.instance = instance
--- a/papayapick/placer/handover.py
+++ b/papayapick/placer/handover.py
@@ -1,4 +1,4 @@
-"""Hand shards to the next owner, and pass on what still comes here."""
+"""Hand shards over to their next owner and forward messages in the meantime."""
 
 import threading
 from concurrent.futures import Future
@@ -14,10 +14,11 @@
 __all__ = ["ShardHandover"]
 
 _LOG = get_logger(__name__)
-_FLUSH_SECONDS = 2.0
-# A handover under way is over within a few heartbeats; as for other moved work.
+_FLUSH_TIMEOUT_SECONDS = 2.0
+# A handover takes a few heartbeats at most, so callers retry soon.
 _MOVED_RETRY_SECONDS = 0.05
-# Looks at the peers that a better placed owner must have passed in a row.
+# Consecutive checks at which the preferred owner must be another placer before a
+# shard is returned to it.
 _CHECKS_BEFORE_RETURN = 5
 
 
@@ -32,27 +33,27 @@
 
 
 class ShardHandover:
-    """Give shards away so that urgent work hardly waits.
+    """Hand over shards with little delay for urgent work.
 
-    The next owner is told directly and claims at once. Gateways learn of it
-    with their next heartbeats; until then what they send here is passed on, and
-    the shard goes on being announced at its old epoch.
+    The next owner is notified directly and claims the shard at once. Gateways
+    learn of it with their next heartbeats. Until then their messages are forwarded
+    to the next owner, and this process still announces the shard at the old epoch.
 
     Parameters
     ----------
     process : Process
     owner : ShardOwner
     running_count : callable
-        Returns how many runs of a shard are under way in this process.
+        Returns the number of runs of a shard in this process.
     """
 
     __slots__ = (
-        "_running_count",
+        "_forwards",
         "_lock",
         "_owner",
-        "_forwards",
-        "_process",
         "_preferred_owner_checks",
+        "_process",
+        "_running_count",
     )
 
     def __init__(self, process, owner, running_count):
@@ -65,26 +66,26 @@
 
     @property
     def forward_seconds(self):
-        """Return how long gateways may take to learn of a new owner."""
+        """Return the seconds that gateways may take to learn of a new owner."""
         return 5 * self._process.settings.heartbeat_seconds
 
     def summaries(self):
-        """Return the shards that are passed on, as they were announced."""
-        return [found.summary for found in self._active_forwards()]
+        """Return the last summaries of the shards whose messages are forwarded."""
+        return [forward.summary for forward in self._active_forwards()]
 
     def hand_over(self, shard, force=False):
-        """Release a shard, tell its next owner and pass on what comes.
+        """Release a shard, notify its next owner and forward later messages.
 
         Parameters
         ----------
         shard : Shard
         force : bool
-            Serve the shard no more even where the table takes no release.
+            Stop serving the shard even if the table does not accept the release.
 
         Returns
         -------
         bool
-            Whether the shard is gone.
+            Whether this process stopped serving the shard.
         """
         process = self._process
         peer = self._next_owner(shard.name)
@@ -101,9 +102,10 @@
         except PlatformError as error:
             _LOG.info("shard not released", extra={"error": str(error)})
             if not force:
-                # Nobody else can take it while the table is down. Where the
-                # release took effect unseen, its next owner fences the hosts
-                # and the next look at the table tells.
+                # No other placer can claim the shard while the table is down. If
+                # the release took effect and only its answer was lost, the next
+                # owner fences the hosts and this process finds the new owner when
+                # it next confirms its ownership.
                 self._cancel_handover(shard, ready)
                 return False
         self._owner.close(shard)
@@ -117,29 +119,32 @@
         shard.resume_admission()
 
     def hand_over_idle_shards(self):
-        """Hand over the shards of a draining process that run nothing."""
+        """Hand over the shards without runs in this process, which is draining."""
         for shard in self._owner.shards:
             self._hand_over_if_idle(shard)
 
     def return_to_preferred(self):
-        """Hand one shard to the placer that should serve it, if it runs nothing.
+        """Hand over at most one shard without runs to its preferred owner.
 
-        A placer that comes back would otherwise never get the shards of its
-        zone again, and each restart would move them further away.
+        Otherwise a placer that was restarted would never get the shards of its
+        zone back, and with each restart more shards would be owned from other
+        zones.
         """
         for shard in self._owner.shards:
             peer = self._next_owner(shard.name)
             if peer is None:
                 self._preferred_owner_checks.pop(shard.name, None)
                 continue
-            looks = self._preferred_owner_checks.get(shard.name, 0) + 1
-            self._preferred_owner_checks[shard.name] = looks
-            if looks > _CHECKS_BEFORE_RETURN and self._hand_over_if_idle(shard):
+            checks = self._preferred_owner_checks.get(shard.name, 0) + 1
+            self._preferred_owner_checks[shard.name] = checks
+            if checks > _CHECKS_BEFORE_RETURN and self._hand_over_if_idle(shard):
                 del self._preferred_owner_checks[shard.name]
                 return
 
     def receive(self, handover):
-        """Take a shard that its owner released; answer once it is served.
+        """Take over a shard that its owner released; answer when it is served.
+
+        The answer is also sent if the shard was not taken over.
 
         Returns
         -------
@@ -152,31 +157,31 @@
         return answer
 
     def forward(self, payload, traceparent):
-        """Pass a message to the next owner of its shard.
+        """Forward a message to the next owner of its shard.
 
         Returns
         -------
         concurrent.futures.Future or None
-            None where the shard was not handed over lately.
+            None if the shard was not handed over recently.
         """
         with self._lock:
-            found = self._forwards.get(payload.shard)
-        if found is None or found.until < self._process.clock.monotonic():
+            forward = self._forwards.get(payload.shard)
+        if forward is None or forward.until < self._process.clock.monotonic():
             return None
         answer = Future()
 
-        def ask(ready):
+        def send(ready):
             try:
                 if isinstance(payload, Release):
-                    found.peer.client.tell(payload)
+                    forward.peer.client.tell(payload)
                     return
-                asked = found.peer.client.call(payload, traceparent)
+                reply = forward.peer.client.call(payload, traceparent)
             except WireError as error:
                 answer.set_exception(_forwarding_error(payload, error))
                 return
-            asked.add_done_callback(lambda done: _copy_result(done, payload, answer))
+            reply.add_done_callback(lambda done: _copy_result(done, payload, answer))
 
-        found.ready.add_done_callback(ask)
+        forward.ready.add_done_callback(send)
         return answer
 
     def _hand_over_if_idle(self, shard):
@@ -202,10 +207,10 @@
     def _flush(self, shard):
         flushed = self._process.executor.submit(shard.journal.flush)
         try:
-            flushed.result(_FLUSH_SECONDS)
+            flushed.result(_FLUSH_TIMEOUT_SECONDS)
         except FutureTimeout:
-            # The table is down: what is known here and not written is settled
-            # by the next owner from the starts that are.
+            # The table is down. The next owner determines the outcomes that are
+            # not written from the journaled starts.
             _LOG.warning("journal not flushed", extra={"shard": shard.name})
 
     def _notify_next_owner(self, peer, shard, ready):
@@ -213,12 +218,12 @@
             ready.set_result(None)
             return
         try:
-            told = peer.client.call(Handover(shard=shard.name, epoch=shard.epoch))
+            reply = peer.client.call(Handover(shard=shard.name, epoch=shard.epoch))
         except WireError:
-            # The next owner finds the released row at its next look.
+            # The next owner finds the released row when it next reads the table.
             ready.set_result(None)
             return
-        told.add_done_callback(lambda done: ready.set_result(None))
+        reply.add_done_callback(lambda done: ready.set_result(None))
         _LOG.info("shard handed over", extra={"shard": shard.name, "to": peer.name})
 
     def _take_over(self, handover, serving):
@@ -229,7 +234,7 @@
                     self._forwards.pop(handover.shard, None)
                 self._owner.take_over(row, serving)
         except PlatformError as error:
-            _LOG.info("handover put off", extra={"error": str(error)})
+            _LOG.info("handover postponed", extra={"error": str(error)})
         finally:
             if not serving.done():
                 serving.set_result(None)
@@ -237,7 +242,9 @@
     def _active_forwards(self):
         now = self._process.clock.monotonic()
         with self._lock:
-            return [found for found in self._forwards.values() if found.until >= now]
+            return [
+                forward for forward in self._forwards.values() if forward.until >= now
+            ]
 
 
 def _copy_result(done, payload, answer):
@@ -249,12 +256,14 @@
 
 
 def _forwarding_error(payload, error):
-    """Return what the asker is told of a message that could not be passed on.
-
-    While hosts are replaced in turn, the next owner may be gone as well. Told
-    as it is, the broken connection reached callers as 503 with outcome unknown,
-    of requests that had not run. What was not sent on, and a slot in any case,
-    has run nothing: the asker turns to whoever owns the shard then.
+    """Return the error with which to answer a message that could not be forwarded.
+
+    While hosts are replaced one after the other, the next owner may be stopped as
+    well. If its connection error were returned unchanged, callers would get 503
+    with outcome unknown for requests that have not run. A message that was not
+    sent has run nothing, and neither has a slot request in any case. These are
+    answered with ``ShardClosed``, so that the sender retries with the owner of
+    that time.
     """
     has_not_run = isinstance(error, PeerUnreachable) or (
         isinstance(error, WireError)
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -1,4 +1,4 @@
-"""Run jobs on workers: all members at once or none."""
+"""Run jobs on workers, starting either all members of a job or none."""
 
 import base64
 import json
@@ -17,20 +17,20 @@
 DONE, FAILED = "done", "failed"
 _URGENT = "urgent"
 _RETRY_SECONDS = 0.2
-# Not by an end of their own: a lease that lapsed, or an owner that was replaced
-# after it had stopped some members.
+# Task states that are not an outcome of the work: the lease expired, or a former
+# owner stopped some members before it was replaced.
 _ENDED_EARLY = ("lapsed", "stopped", "checkpointed")
-_RUN_SECONDS = 3600.0
+_DEFAULT_RUN_SECONDS = 3600.0
 
 
 class JobRunner:
-    """Queue jobs, journal the places of what starts, start, renew and collect.
+    """Queue jobs, journal and start those that fit, and collect their results.
 
     Parameters
     ----------
     process : Process
     workers : WorkerClient
-    dispatcher : WorkDesk
+    dispatcher : WorkDispatcher
     """
 
     __slots__ = ("_dispatcher", "_members", "_process")
@@ -41,22 +41,25 @@
         self._members = JobMembers(process, workers)
 
     def run(self, shard, item):
-        """Let a job wait for room, and start whatever fits now."""
+        """Queue a job and start the queued jobs that fit now."""
         if item.ended is not None or shard.is_closed:
             return
-        shard.jobs.add(self._job(shard, item))
+        shard.jobs.add(self._waiting_job(shard, item))
         self.start_waiting(shard)
 
     def recover(self, shard, item):
-        """Take over a started job: its inventory is in the ledger already."""
-        job = self._job(shard, item)
-        places = [Place(one["host"], one["task"]) for one in item.started.places]
+        """Take over a job that a former owner started.
+
+        Its tasks were added to the ledger when the workers were fenced.
+        """
+        job = self._waiting_job(shard, item)
+        places = [Place(place["host"], place["task"]) for place in item.started.places]
         running = RunningJob(job, places, item.started.time + job.run_seconds)
         running.heard = self._process.clock.monotonic()
         shard.jobs.adopt(running)
 
     def renew(self, shard):
-        """Renew the leases of a shard's tasks and collect what has ended."""
+        """Renew the leases of a shard's tasks and end the jobs that have finished."""
         jobs = shard.jobs.running
         reports = self._members.renew(shard, jobs)
 
@@ -77,7 +80,7 @@
             self._collect(shard, item, running, reports)
 
     def start_waiting(self, shard):
-        """Start the waiting jobs whose turn it is and that fit."""
+        """Start the waiting jobs that the queue selects, and pause jobs for others."""
         if shard.is_closed or shard.is_handing_over:
             return
         now = self._process.clock.time()
@@ -85,12 +88,13 @@
         for name in shard.jobs.take_overdue(now):
             self._end_overdue(shard, shard.book.get(name))
         starts = self._choose_starts(shard, now)
-        # All are journaled together: they share a segment, and so one write.
+        # All starts are journaled before any is waited for, so that they share a
+        # segment and thus one write.
         entries = [(start, self._journal_start(shard, start)) for start in starts]
 
-        def start_one(found):
-            start, entry = found
-            if entry is not None and self._is_durable(shard, start, entry):
+        def start_one(journaled):
+            start, entry = journaled
+            if entry is not None and self._wait_until_durable(shard, start, entry):
                 self._start_members(shard, shard.book.get(start.job.name), start)
 
         in_parallel(self._process.executor, start_one, entries)
@@ -105,15 +109,15 @@
         starts = shard.jobs.choose_starts(now)
         name = shard.jobs.promised
         if name is not None and is_ended(name):
-            # It was cancelled, and what was held for it is free for others. All
-            # that were cancelled with it go at once: a pass for each would hold up
-            # whatever else the process decides.
+            # The job with the reservation was cancelled, so its room is free for
+            # others. All other cancelled jobs are removed with it, since one pass
+            # over the queue for each would delay all other decisions of the process.
             shard.jobs.discard_where(is_ended)
             starts += shard.jobs.choose_starts(now)
         return starts
 
     def end(self, shard, item, outcome, detail="", results=None):
-        """Journal the outcome of a job and answer those who wait for it."""
+        """Journal the outcome of a job and answer the callers that wait for it."""
         body = json.dumps(results or {})
         ended = Ended(
             item.request_id,
@@ -121,13 +125,13 @@
             self._process.clock.time(),
             status=200 if outcome == DONE else 0,
             content_type="application/json",
-            result=_text_of(body),
+            result=_base64_of(body),
             detail=detail,
         )
         shard.failures.forget(item.request_id)
         journal_outcome(self._dispatcher, shard, item, ended)
 
-    def _job(self, shard, item):
+    def _waiting_job(self, shard, item):
         policy = self._process.watcher.bundle.jobs.get(item.accepted.name)
         is_urgent = policy is not None and policy.urgency == _URGENT
         declared = Amounts.from_mapping(item.accepted.job["demand"])
@@ -135,7 +139,7 @@
             item.request_id,
             shard.estimates.estimate(item.accepted.name, declared),
             item.accepted.job["members"],
-            policy.run_seconds if policy else _RUN_SECONDS,
+            policy.run_seconds if policy else _DEFAULT_RUN_SECONDS,
             self._process.clock.time(),
             item.accepted.deadline,
             is_urgent,
@@ -155,16 +159,16 @@
         if item.ended is not None:
             shard.jobs.finish(item.request_id)
             return None
-        places = [{"host": one.host, "task": one.task} for one in start.places]
+        places = [{"host": place.host, "task": place.task} for place in start.places]
         now = self._process.clock.time()
         started = Started(item.request_id, start.job.attempt, places, now)
         try:
             return shard.journal.append(started)
         except JournalError:
-            self._put_back(shard, item)
+            self._requeue(shard, item)
             return None
 
-    def _is_durable(self, shard, start, entry):
+    def _wait_until_durable(self, shard, start, entry):
         item = shard.book.get(start.job.name)
         try:
             entry.written.result()
@@ -175,20 +179,20 @@
             )
             return False
         except JournalError:
-            self._put_back(shard, item)
+            self._requeue(shard, item)
             return False
         if item.ended is None and item.started == entry.record:
             return True
-        # A cancel stands before the start in the journal.
+        # A cancellation precedes the start in the journal.
         shard.jobs.finish(item.request_id)
         return False
 
-    def _put_back(self, shard, item):
+    def _requeue(self, shard, item):
         shard.jobs.finish(item.request_id)
         self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
 
     def _start_members(self, shard, item, running):
-        # From here on a member may run, whatever becomes of the others.
+        # From here on a member may run, even if the start of another one fails.
         item.may_have_run = True
         work = item.accepted.job.get("work", {})
         refused_by = self._members.start(shard, running, work)
@@ -203,14 +207,14 @@
         try:
             self._members.checkpoint(shard, running)
         except PlatformError as error:
-            # Some members may run on: the job ends as any that is given up, and
-            # is run again from its start.
+            # Some members may still run. The job is given up and, if it is
+            # repeatable, run again from its start.
             _LOG.info("job not paused", extra={"error": str(error)})
             self._give_up(shard, item, running)
             return
-        self._resume_later(shard, item, running)
+        self._queue_paused(shard, item, running)
 
-    def _resume_later(self, shard, item, running):
+    def _queue_paused(self, shard, item, running):
         self._members.forget(running)
         shard.jobs.finish(item.request_id)
         shard.jobs.add(running.job.paused())
@@ -230,8 +234,9 @@
             self.end(shard, item, DONE, results=results)
             return
         if all(report and report.state == "checkpointed" for report in reported):
-            # An earlier owner paused it and was replaced before it went on.
-            self._resume_later(shard, item, running)
+            # A former owner paused the job and was replaced before it queued the
+            # job again.
+            self._queue_paused(shard, item, running)
             return
         now = self._process.clock.time()
         failed = [
@@ -250,12 +255,14 @@
                     shard.failures.note_refusal(place.host, item.request_id, now)
             self._give_up(shard, item, running)
         elif now > running.end:
-            # A run past its bound would put off what was promised its room.
+            # A run beyond its upper bound would delay the job for which its room
+            # is reserved.
             self._give_up(shard, item, running, "work.run-time-over")
 
     def _give_up(self, shard, item, running, detail=""):
-        # No member may run on while the others are started elsewhere: until all
-        # have ended the job is kept, and its leases are renewed no more.
+        # No member may still run when the job is started again elsewhere. Until all
+        # members have ended, the job holds its room and its leases are no longer
+        # renewed.
         running.is_given_up = True
         if not self._members.stop(shard, running):
             return
@@ -271,5 +278,5 @@
             self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
 
 
-def _text_of(body):
+def _base64_of(body):
     return base64.b64encode(body.encode()).decode()
--- a/papayapick/placer/members.py
+++ b/papayapick/placer/members.py
@@ -1,4 +1,4 @@
-"""Start, renew, checkpoint and stop the members of jobs on their workers."""
+"""Call workers to start, renew, checkpoint and stop the members of jobs."""
 
 from papayapick.clients import PlatformError
 from papayapick.ledger import Amounts
@@ -6,14 +6,14 @@
 
 __all__ = ["JobMembers", "in_parallel"]
 
-# Calls of workers under way at once; the executor serves peers as well.
-_CALLS = 32
-# Clocks of workers and placers drift apart by at most this share.
-_DRIFT = 0.02
+# Concurrent calls to workers; the executor's threads also serve peers.
+_PARALLEL_CALLS = 32
+# Largest relative drift between the clocks of workers and placers.
+_CLOCK_DRIFT = 0.02
 
 
 class JobMembers:
-    """Call the workers of a job, and know when their leases are over.
+    """Call the workers of a job and track the leases of its tasks.
 
     Parameters
     ----------
@@ -28,36 +28,43 @@
         self._executor = process.executor
         self._workers = workers
         self._lease_seconds = process.settings.task_lease_seconds
-        self._leases = LeaseBook(self._clock, self._lease_seconds, _DRIFT)
+        self._leases = LeaseBook(self._clock, self._lease_seconds, _CLOCK_DRIFT)
 
     def start(self, shard, running, work):
-        """Start all members, one after the other.
+        """Start the members sequentially, up to the first failure.
 
         Parameters
         ----------
         shard : Shard
         running : RunningJob
         work : dict
+            Description of the work that each worker receives.
 
         Returns
         -------
         str or None
-            The host that did not take its member; the others may run.
+            The host that failed to start its member; the members before it may
+            be running. None if all were started.
         """
         job = running.job
         demand = job.demand.as_mapping()
         running.heard = self._clock.monotonic()
         for task in running.tasks:
             self._leases.note_start(task)
-        for number, place in enumerate(running.places):
-            found = dict(work)
+        for index, place in enumerate(running.places):
+            task_work = dict(work)
             if job.checkpoints:
-                found["checkpoint"] = job.checkpoints[number]
+                task_work["checkpoint"] = job.checkpoints[index]
             entry = shard.entries[place.host]
             self._leases.note_start(place.task)
             try:
                 self._workers.start(
-                    entry, shard.epoch, place.task, demand, self._lease_seconds, found
+                    entry,
+                    shard.epoch,
+                    place.task,
+                    demand,
+                    self._lease_seconds,
+                    task_work,
                 )
             except PlatformError:
                 return place.host
@@ -66,19 +73,19 @@
     def renew(self, shard, jobs):
         """Renew the leases of jobs that are not given up.
 
-        Workers are called side by side: those of a rack that went answer only
-        after a timeout each, and one after the other they would outlast the leases
-        of all other workers.
+        Workers are called concurrently. If a rack fails, each of its workers
+        answers only by a timeout, and sequential calls would take longer than the
+        leases of all other workers.
 
         Returns
         -------
         dict of str to TaskReport
-            By task; a worker that did not answer is missing.
+            Reports by task; tasks of workers that did not answer are missing.
         """
         reports = {}
 
-        def renew_worker(found):
-            worker, tasks = found
+        def renew_worker(call):
+            worker, tasks = call
             reports.update(self._renew_worker(shard, worker, tasks))
 
         calls = list(_tasks_by_worker(jobs).items())
@@ -87,27 +94,28 @@
             if all(task in reports for task in running.tasks):
                 running.heard = self._clock.monotonic()
             for task in running.tasks:
-                self._note_use(shard, reports.get(task))
+                self._apply_usage(shard, reports.get(task))
         return reports
 
     def checkpoint(self, shard, running):
-        """Save and stop all members.
+        """Checkpoint and stop all members.
 
         Raises
         ------
         PlatformError
-            Some may run on.
+            Some members may still run.
         """
         for place in running.places:
             entry = shard.entries[place.host]
             self._workers.checkpoint(entry, shard.epoch, [place.task])
 
     def stop(self, shard, running):
-        """Stop all members; return whether none runs any more.
+        """Stop all members; return whether it is certain that none runs.
 
-        Where a stop is not confirmed, the lease must be over, counted from its
-        last renewal. Counted from the start, the task of a worker that was cut off
-        would still run under the lease it was given last.
+        If a worker does not confirm the stop, the lease must have expired, counted
+        from its last renewal. Counted from the start, the lease would seem to have
+        expired while the task of an unreachable worker still runs under the last
+        renewal.
         """
         confirmed = True
         for place in running.places:
@@ -122,16 +130,16 @@
         return confirmed or self._leases.are_over(running.tasks)
 
     def is_silent(self, running):
-        """Return whether some member was not heard of for a whole lease."""
-        bound = running.heard + self._lease_seconds * (1 + _DRIFT)
-        return self._clock.monotonic() > bound
+        """Return whether some member was not reported for a whole lease."""
+        lease_end = running.heard + self._lease_seconds * (1 + _CLOCK_DRIFT)
+        return self._clock.monotonic() > lease_end
 
     def forget(self, running):
-        """Drop the leases of a job none of whose members runs."""
+        """Drop the leases of a job that has no running member."""
         self._leases.forget(running.tasks)
 
     @staticmethod
-    def _note_use(shard, report):
+    def _apply_usage(shard, report):
         if report is not None and report.is_running and report.usage:
             shard.hosts.grow(report.task, Amounts.from_mapping(report.usage))
 
@@ -140,29 +148,30 @@
         if entry is None:
             return {}
         try:
-            reports = self._renew_or_ask(entry, shard.epoch, tasks)
+            reports = self._renew_or_fence(entry, shard.epoch, tasks)
         except PlatformError:
             return {}
         self._leases.note_answer(tasks)
         return {report.task: report for report in reports}
 
-    def _renew_or_ask(self, entry, epoch, tasks):
+    def _renew_or_fence(self, entry, epoch, tasks):
         if self._leases.are_silent(tasks):
-            # Each renewal may reach the worker and be answered into the void;
-            # only once they end can the lease be known to be over. A fence
-            # tells whether the worker is back and prolongs nothing.
+            # Each renewal may reach the worker while its answer is lost, so the
+            # lease can be known to have expired only after renewals stop. A fence
+            # call shows whether the worker is reachable and extends no lease.
             return self._workers.fence(entry, epoch)
         self._leases.note_renewal(tasks)
         return self._workers.renew(entry, epoch, tasks, self._lease_seconds)
 
 
 def in_parallel(executor, call, items):
-    """Call with each item, at most 32 at once; return when all are done.
+    """Call a function with each item, at most 32 concurrently, and wait for all.
 
     Parameters
     ----------
     executor : concurrent.futures.Executor
     call : callable
+        Called with one item.
     items : list
     """
 
@@ -170,15 +179,18 @@
         for item in part:
             call(item)
 
-    parts = [items[start::_CALLS] for start in range(min(_CALLS, len(items)))]
+    parts = [
+        items[start::_PARALLEL_CALLS]
+        for start in range(min(_PARALLEL_CALLS, len(items)))
+    ]
     futures = [executor.submit(call_each, part) for part in parts]
     for future in futures:
         future.result()
 
 
 def _tasks_by_worker(jobs):
-    found = {}
+    by_worker = {}
     for running in jobs:
         for place in running.places if not running.is_given_up else ():
-            found.setdefault(place.host, []).append(place.task)
-    return found
+            by_worker.setdefault(place.host, []).append(place.task)
+    return by_worker
--- a/papayapick/placer/outcomes.py
+++ b/papayapick/placer/outcomes.py
@@ -1,4 +1,4 @@
-"""Journal how durable work ended, until that is settled."""
+"""Journal the outcomes of durable work."""
 
 from papayapick.journal import JournalError
 from papayapick.placer.exceptions import OutcomeUnsettled
@@ -7,11 +7,14 @@
 
 
 def journal_outcome(dispatcher, shard, item, ended):
-    """Journal the end of a request or job, then answer those who wait for it.
+    """Journal the outcome of a request or job, then answer the waiting callers.
+
+    A record whose write was lost is appended again while this process owns the
+    shard.
 
     Parameters
     ----------
-    dispatcher : WorkDesk
+    dispatcher : WorkDispatcher
     shard : Shard
     item : WorkItem
     ended : Ended
@@ -19,14 +22,14 @@
     try:
         entry = shard.journal.append(ended, must_last=True)
     except JournalError as error:
-        # A newer owner settles it, from the start that is journaled or from its
-        # workers; until then this process can't tell.
+        # A newer owner determines the outcome from the journaled start or from the
+        # workers. This process can't know it.
         dispatcher.fail_waiters(item, OutcomeUnsettled(cause=error.code))
         return
 
     def settled(done):
-        # An outcome whose write was lost is written again: the work holds no room any
-        # more, and nothing else would end it.
+        # An outcome whose write was lost is journaled again. The work holds no room
+        # by now, so nothing else would end it.
         if done.result():
             dispatcher.answer_waiters(item)
         elif not shard.is_closed:
--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -1,4 +1,4 @@
-"""Own shards: claim those this placer should serve, and lose them truthfully."""
+"""Claim, confirm and give up the ownership of shards."""
 
 import threading
 
@@ -23,18 +23,18 @@
 
 
 class ShardOwner:
-    """Hold the shards of one placer.
+    """Manage the shards that one placer owns.
 
     Parameters
     ----------
     process : Process
-    host_reconciler : HostKeeper
+    host_reconciler : HostReconciler
     bucket : TokenBucket
-        Writes that the journals of this process may make.
+        Limits the journal writes of the process.
     on_taken : callable
-        Called with a shard whose work is loaded and whose hosts were looked at.
+        Called with a shard after its work was loaded and its hosts were refreshed.
     on_lost : callable
-        Called with a shard that was closed.
+        Called with a shard after it was closed.
     """
 
     __slots__ = (
@@ -81,7 +81,7 @@
         return shard
 
     def update_ownership(self):
-        """Confirm the owned shards and take those that this placer should serve.
+        """Confirm the owned shards and claim those that this placer should serve.
 
         Raises
         ------
@@ -105,32 +105,34 @@
             try:
                 future.result()
             except PlatformError as error:
-                _LOG.info("takeover put off", extra={"error": str(error)})
+                _LOG.info("takeover postponed", extra={"error": str(error)})
 
     def take_over(self, row, serving=None):
-        """Claim a shard, load its work, look at its hosts and serve it.
+        """Claim a shard, load its work, serve it and open its hosts.
 
         Parameters
         ----------
         row : ShardRow
-            As it was read.
+            The row as it was read.
         serving : concurrent.futures.Future, optional
-            Settled as soon as requests are taken, with the hosts still to be
-            looked at.
+            Resolved when the shard accepts requests, before its hosts are opened,
+            or when the attempt has ended.
 
         Returns
         -------
         Shard or None
-            None where another placer was first.
+            None if this process owns the shard already or another placer claimed
+            it first.
 
         Raises
         ------
         PlatformError
-            The shard may be claimed but is not served; the next look goes on.
+            The shard may be claimed but is not served. The next update of the
+            ownership continues the takeover.
         """
         with self._lock:
             if row.shard in self._shards or row.shard in self._takeovers:
-                # Two journals at one epoch would write the same segments.
+                # Two journals of the same epoch would write the same segments.
                 return None
             self._takeovers.add(row.shard)
         try:
@@ -148,12 +150,12 @@
         return shard
 
     def lose(self, shard):
-        """Close a shard that a newer owner has."""
+        """Close a shard that has a newer owner, and log the loss."""
         self.close(shard)
         _LOG.warning("shard lost", extra={"shard": shard.name, "epoch": shard.epoch})
 
     def close(self, shard):
-        """Close a shard and serve it no more."""
+        """Close a shard and stop serving it."""
         with self._lock:
             if self._shards.get(shard.name) is shard:
                 del self._shards[shard.name]
@@ -182,12 +184,12 @@
         return document["topology"]["shards_per_zone"]
 
     def _claim(self, row):
-        # A claim whose work could not be loaded, the table or object store
-        # having failed in between, is gone on with: a claim at each look would
-        # fence the hosts again and again.
-        before = self._claimed.get(row.shard)
-        if before is not None and before.version == row.version:
-            return before
+        # If the table or object store failed after the claim, so that the work was
+        # not loaded, the takeover continues with the same claim. A new claim at
+        # each attempt would raise the epoch and fence the hosts each time.
+        earlier = self._claimed.get(row.shard)
+        if earlier is not None and earlier.version == row.version:
+            return earlier
         process = self._process
         try:
             taken = claim(process.table, row, process.settings.host_name)
@@ -209,7 +211,7 @@
                 shard.confirm(pauses)
 
     def _may_have_changed(self):
-        """Return whether the rows may tell something that the peers don't."""
+        """Return whether the rows may differ from what the peers announce."""
         shards = self.shards
         served = self._process.peers.serving()
         return (
@@ -229,6 +231,7 @@
         if preferred_owner(row.shard, candidates(process.peers.live())) != host:
             return False
         if row.owner in ("", host):
-            # Its own name on a shard it does not serve: an earlier life's.
+            # A row with this host's name, for a shard that it does not serve, is
+            # left from before a restart of the process.
             return True
         return not process.peers.is_alive(row.owner)
--- a/papayapick/placer/payloads.py
+++ b/papayapick/placer/payloads.py
@@ -1,4 +1,4 @@
-"""Keep payloads and results, small ones in the record, large ones as objects."""
+"""Store small payloads and results in the journal record, large ones as objects."""
 
 import base64
 
@@ -12,13 +12,23 @@
 
 
 def inline_or_object(objects, data):
-    """Return base64 text of small bytes, or store large ones by digest.
+    """Encode small data as base64, or store large data as an object by its digest.
+
+    Parameters
+    ----------
+    objects : ObjectsProtocol
+    data : bytes
 
     Returns
     -------
     inline : str
+        Base64 text, empty if the data is stored as an object.
     name : str
-        Of the object, empty where the bytes are inline.
+        Name of the object, empty if the data is inline.
+
+    Raises
+    ------
+    PlatformError
     """
     if len(data) <= INLINE_BYTES:
         return base64.b64encode(data).decode(), ""
@@ -28,17 +38,26 @@
 
 
 def load_inline_or_object(objects, inline, name):
-    """Return the bytes that ``inline_or_object`` kept."""
+    """Return the bytes that ``inline_or_object`` stored."""
     return objects.get(name) if name else base64.b64decode(inline)
 
 
 def state_of(item, objects):
-    """Return what a caller is told of a request.
+    """Return the state of a request as the caller receives it.
 
     Parameters
     ----------
     item : WorkItem
     objects : ObjectsProtocol
+
+    Returns
+    -------
+    WorkState
+
+    Raises
+    ------
+    PlatformError
+        The result is stored as an object that can't be read.
     """
     ended = item.ended
     if ended is None:
--- a/papayapick/placer/requests.py
+++ b/papayapick/placer/requests.py
@@ -19,25 +19,25 @@
 DONE, FAILED, UNKNOWN = "done", "failed", "unknown"
 _SLOT_WAIT_SECONDS = 0.5
 _BACKOFF_SECONDS = 0.2
-_LONGEST_BACKOFF_SECONDS = 10.0
-_ATTEMPTS = 5
+_MAX_BACKOFF_SECONDS = 10.0
+_MAX_ATTEMPTS = 5
 _SERVER_ERROR = 500
 _UNUSED, _LEAVING = "unused", "leaving"
 
 
 class RequestRunner:
-    """Send journaled requests, those not to be repeated at most once.
+    """Send journaled requests, at most once those that are not repeatable.
 
-    The start is journaled before the first byte is sent. After it, a request
-    that must not be repeated is sent again only where this process knows that
-    nothing left; a successor, which can't know, says ``unknown``.
+    The start is journaled before the first byte is sent. Afterwards, a request
+    that is not repeatable is sent again only if this process knows that nothing
+    was sent. A later owner can't know this and ends the request as ``unknown``.
 
     Parameters
     ----------
     process : Process
     slots : SlotClient
     instances : InstanceClient
-    dispatcher : WorkDesk
+    dispatcher : WorkDispatcher
     """
 
     __slots__ = ("_dispatcher", "_instances", "_process", "_slots")
@@ -49,7 +49,7 @@
         self._dispatcher = dispatcher
 
     def run(self, shard, item):
-        """Try a request once; end it, or put it back with a delay."""
+        """Attempt a request once, then end it or queue it again with a delay."""
         if item.ended is not None or shard.is_closed:
             return
         policy = self._process.watcher.bundle.services.get(item.accepted.name)
@@ -57,7 +57,7 @@
             self.end(shard, item, item.refusal, detail="work.service-removed")
             return
         if item.may_have_run and not item.accepted.repeatable:
-            # Whatever brought it back here, it is never sent a second time.
+            # It must not be sent a second time, for whatever reason it was queued.
             self.end(shard, item, UNKNOWN, detail="work.outcome-lost")
             return
         if self._process.clock.time() >= item.accepted.deadline:
@@ -66,31 +66,32 @@
         try:
             grant = self._acquire(item, policy)
         except (RoutingError, WireError):
-            self._put_back(shard, item)
+            self._requeue(shard, item)
             return
-        self._run_with(shard, item, policy, grant)
+        self._run_with_grant(shard, item, policy, grant)
 
     def recover(self, shard, item):
-        """Settle a request that an earlier owner had started.
+        """Continue or end a request that a former owner had started.
 
-        Repeatable work goes back to the runners once no earlier run can be
-        under way; work not to be repeated has no proof that it did not run.
+        A repeatable request is queued for the time at which no earlier run can
+        still be in progress. Any other request is ended as ``unknown``, since
+        nothing proves that it did not run.
         """
         if item.accepted.repeatable:
             policy = self._process.watcher.bundle.services.get(item.accepted.name)
             bound = policy.run_seconds if policy else 0.0
-            rest = item.started.time + bound - self._process.clock.time()
-            self._dispatcher.enqueue(shard, item, max(0.0, rest))
+            remaining = item.started.time + bound - self._process.clock.time()
+            self._dispatcher.enqueue(shard, item, max(0.0, remaining))
         else:
             self.end(shard, item, UNKNOWN, detail="work.owner-lost")
 
     def end(self, shard, item, outcome, detail="", answer=None):
-        """Journal the outcome of a request and answer those who wait for it."""
+        """Journal the outcome of a request and answer the callers that wait for it."""
         result, name, status, content_type = "", "", 0, ""
         if answer is not None:
             status = answer.status
             content_type = answer.headers.get("Content-Type", "")
-            result, name = self._keep(answer.body)
+            result, name = self._store_result(answer.body)
         ended = Ended(
             item.request_id,
             outcome,
@@ -104,21 +105,21 @@
         journal_outcome(self._dispatcher, shard, item, ended)
 
     def _acquire(self, item, policy):
-        rest = item.accepted.deadline - self._process.clock.time()
-        wait = min(_SLOT_WAIT_SECONDS, max(0.0, rest))
+        remaining = item.accepted.deadline - self._process.clock.time()
+        wait = min(_SLOT_WAIT_SECONDS, max(0.0, remaining))
         return self._slots.acquire(policy, item.request_id, wait)
 
-    def _run_with(self, shard, item, policy, grant):
+    def _run_with_grant(self, shard, item, policy, grant):
         began = self._process.clock.monotonic()
         outcome = _UNUSED
         try:
             if self._journal_start(shard, item, grant):
                 grant.check_usable(self._process.clock.monotonic())
-                # Until the answer is in, the backend server may be running it.
+                # Until the answer arrives, the backend server may run the request.
                 outcome = UNKNOWN
                 outcome = self._send(shard, item, policy, grant)
         except GrantExpired:
-            self._put_back(shard, item)
+            self._requeue(shard, item)
         finally:
             seconds = self._process.clock.monotonic() - began
             self._slots.release(grant, outcome, seconds)
@@ -135,21 +136,23 @@
             entry = shard.journal.append(started)
             entry.written.result()
         except JournalUnsettled:
-            # Nothing was sent, so the work goes on once the fate is known.
-            entry.settled.add_done_callback(lambda done: self._put_back(shard, item))
+            # Nothing was sent, so the request is queued again once it is known
+            # whether the record was written.
+            entry.settled.add_done_callback(lambda done: self._requeue(shard, item))
             return False
         except JournalError:
-            self._put_back(shard, item)
+            self._requeue(shard, item)
             return False
-        # A cancel that was journaled first has ended the request: not sent.
+        # A cancellation that was journaled before the start has ended the request,
+        # so it must not be sent.
         return item.ended is None and item.started == started
 
     def _send(self, shard, item, policy, grant):
-        """Send the request once; return what the slot's release should say."""
+        """Send the request once and return the outcome for the slot's release."""
         granted = grant.granted
         accepted = item.accepted
-        rest = accepted.deadline - self._process.clock.time()
-        seconds = min(policy.run_seconds, max(0.05, rest))
+        remaining = accepted.deadline - self._process.clock.time()
+        seconds = min(policy.run_seconds, max(0.05, remaining))
         ran_before = item.may_have_run
         try:
             payload = load_inline_or_object(
@@ -161,48 +164,50 @@
             )
         except (NotSent, StaleEpoch, ObjectsUnavailable) as error:
             item.may_have_run = ran_before
-            self._put_back(shard, item)
+            self._requeue(shard, item)
             return FAILED if isinstance(error, NotSent) else _UNUSED
         except (AnswerMissing, AnswerInvalid) as error:
-            self._without_answer(shard, item, policy, error)
+            self._handle_missing_answer(shard, item, policy, error)
             return UNKNOWN
-        self._with_answer(shard, item, answer)
+        self._handle_answer(shard, item, answer)
         if is_leaving(answer):
             return _LEAVING
         return FAILED if answer.status >= _SERVER_ERROR else DONE
 
-    def _with_answer(self, shard, item, answer):
+    def _handle_answer(self, shard, item, answer):
         if answer.status < _SERVER_ERROR:
             self.end(shard, item, DONE, answer=answer)
-        elif item.accepted.repeatable and item.attempts < _ATTEMPTS:
-            self._put_back(shard, item)
+        elif item.accepted.repeatable and item.attempts < _MAX_ATTEMPTS:
+            self._requeue(shard, item)
         else:
             self.end(shard, item, FAILED, "work.server-error", answer)
 
-    def _without_answer(self, shard, item, policy, error):
-        if not item.accepted.repeatable or item.attempts >= _ATTEMPTS:
+    def _handle_missing_answer(self, shard, item, policy, error):
+        if not item.accepted.repeatable or item.attempts >= _MAX_ATTEMPTS:
             self.end(shard, item, UNKNOWN, detail=error.code)
         else:
-            # The first run may still be under way; it must be over before the
+            # The first run may still be in progress and must be over before the
             # second starts.
-            self._put_back(shard, item, policy.run_seconds)
+            self._requeue(shard, item, policy.run_seconds)
 
-    def _put_back(self, shard, item, least=0.0):
+    def _requeue(self, shard, item, min_delay=0.0):
         if shard.is_closed:
             return
-        delay = min(_LONGEST_BACKOFF_SECONDS, _BACKOFF_SECONDS * 2**item.attempts)
+        delay = min(_MAX_BACKOFF_SECONDS, _BACKOFF_SECONDS * 2**item.attempts)
         delay *= 0.5 + self._process.generator.random()
         if not item.may_have_run:
-            # It is refused at its deadline, not at the try after it.
-            rest = item.accepted.deadline - self._process.clock.time()
-            delay = min(delay, max(0.0, rest))
-        self._dispatcher.enqueue(shard, item, max(least, delay))
+            # The request is refused at its deadline and not at the first attempt
+            # after it.
+            remaining = item.accepted.deadline - self._process.clock.time()
+            delay = min(delay, max(0.0, remaining))
+        self._dispatcher.enqueue(shard, item, max(min_delay, delay))
 
-    def _keep(self, body):
+    def _store_result(self, body):
         while True:
             try:
                 return inline_or_object(self._process.objects, body)
             except ObjectsUnavailable:
-                # The work has run; its result must not be lost to an outage.
+                # The work has run, so its result must survive an outage of the
+                # object store.
                 if self._process.clock.wait(self._process.is_stopping, 0.5):
                     raise
--- a/papayapick/placer/runners.py
+++ b/papayapick/placer/runners.py
@@ -1,4 +1,4 @@
-"""Run durable work as it comes due."""
+"""Execute durable work when it is due."""
 
 import collections
 import threading
@@ -12,21 +12,21 @@
 _LOG = get_logger(__name__)
 _TAKE_SECONDS = 5.0
 _RETRY_SECONDS = 1.0
-_LEAVING_SECONDS = 0.1
+_HANDOVER_RETRY_SECONDS = 0.1
 
 
 class WorkLoop:
-    """Take items from the dispatcher and run them, one at a time in each task.
+    """Take items from the dispatcher and run them, one per thread at a time.
 
     Parameters
     ----------
     process : Process
-    dispatcher : WorkDesk
+    dispatcher : WorkDispatcher
     runner_of : callable
         Returns the runner of an item.
     """
 
-    __slots__ = ("_dispatcher", "_running_counts", "_lock", "_process", "_runner_of")
+    __slots__ = ("_dispatcher", "_lock", "_process", "_runner_of", "_running_counts")
 
     def __init__(self, process, dispatcher, runner_of):
         self._process = process
@@ -36,18 +36,18 @@
         self._lock = threading.Lock()
 
     def running_count(self, shard):
-        """Return how many runs of a shard are under way."""
+        """Return the number of runs of a shard in this process."""
         with self._lock:
             return self._running_counts[shard.name]
 
     def step(self):
-        """Run the next item that comes due; the step of a task."""
-        found = self._dispatcher.take(_TAKE_SECONDS)
-        if found is not None:
-            self.run_one(*found)
+        """Run the next due item, if any; called repeatedly by each runner thread."""
+        due = self._dispatcher.take(_TAKE_SECONDS)
+        if due is not None:
+            self.run_one(*due)
 
     def run_one(self, shard, item):
-        """Run an item; whatever fails, it is put off and not dropped."""
+        """Run an item; after any error the item is queued again, never dropped."""
         with self._lock:
             self._running_counts[shard.name] += 1
         try:
@@ -58,16 +58,20 @@
 
     def _run(self, shard, item):
         if shard.is_handing_over and not shard.is_closed:
-            # The next owner starts it; here it is kept for the case that the
-            # shard stays after all.
-            self._dispatcher.enqueue(shard, item, _LEAVING_SECONDS)
+            # The next owner starts the item. It is queued again here in case the
+            # handover fails and the shard stays.
+            self._dispatcher.enqueue(shard, item, _HANDOVER_RETRY_SECONDS)
             return
         try:
             self._runner_of(item).run(shard, item)
         except (PlatformError, JournalError) as error:
-            _LOG.info("run put off", extra={"error": str(error)})
+            _LOG.info("run postponed after an error", extra={"error": str(error)})
             self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
         except Exception:
-            # A fault of ours: the item would be lost, and its caller with it.
-            _LOG.exception("run failed", extra={"request": item.request_id})
+            # An unexpected error. Without the retry the item would be lost and its
+            # caller would never be answered.
+            _LOG.exception(
+                "run failed unexpectedly; queued again",
+                extra={"request": item.request_id},
+            )
             self._dispatcher.enqueue(shard, item, _RETRY_SECONDS)
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -1,4 +1,4 @@
-"""Take over shards: claim, fence, count what runs, then serve."""
+"""Load the work of a shard, fence its hosts and count the work they run."""
 
 from papayapick.clients import PlatformError, StaleEpoch
 from papayapick.clients.hosts import WORKER
@@ -18,11 +18,11 @@
 
 
 class HostReconciler:
-    """Keep the hosts of owned shards in step with the list and the hosts' word.
+    """Reconcile the hosts of shards with the host list and the hosts' reports.
 
     A host is opened only after it has been fenced at the shard's epoch and has
-    told what runs there: an earlier owner's work would otherwise be missing
-    from the ledger, and the host given more than it holds.
+    reported what it runs. Otherwise the work of a former owner would be missing
+    from the ledger and the host would be overloaded.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
         self._listing = listing or HostListing()
 
     def refresh(self, shard, entries, shards_per_zone):
-        """Add, open and close hosts of a shard after a look at the list.
+        """Add, open and close the hosts of a shard according to the host list.
 
         Parameters
         ----------
@@ -64,10 +64,14 @@
             future.result()
 
     def add_listed(self, shard, entries, shards_per_zone):
-        """Add the hosts of a shard, closed, and return their entries.
+        """Add the listed hosts of a shard, closed to work.
 
-        Done before the shard is served: a request for a service whose hosts
-        are still to be opened waits, and is not told that there are none.
+        Called before the shard is served. A request for a service whose hosts
+        are not open yet then waits and is not refused with ``ServiceUnknown``.
+
+        Returns
+        -------
+        list of HostEntry
         """
         found = self._listing.of_shard(shard.name, entries, shards_per_zone)
         for entry in found:
@@ -75,7 +79,7 @@
         return found
 
     def reconcile_grants(self, shard):
-        """Ask backend servers about grants past their upper bound."""
+        """Query the backend servers about the grants whose end is in doubt."""
         for instance in shard.slot_allocator.in_doubt_instances():
             entry = shard.entries[instance]
             try:
@@ -85,8 +89,8 @@
             shard.slot_allocator.reconcile(instance, running)
 
     def _close_unlisted(self, shard, listed):
-        # A host that went without a word is dropped from the list; what was
-        # reserved there stays reserved until there is proof of its end.
+        # A host that disappeared without announcing it is dropped from the list.
+        # Its reservations stay until there is proof that the work has ended.
         names = {entry.name for entry in listed}
         for name, entry in list(shard.entries.items()):
             if name not in names:
@@ -121,10 +125,10 @@
             else:
                 self._open_instance(shard, entry)
         except StaleEpoch:
-            _LOG.warning("a newer owner fenced the host", extra={"host": entry.name})
+            _LOG.warning("host was fenced by a newer owner", extra={"host": entry.name})
         except PlatformError as error:
-            # Unreachable counts as full; the next look tries again.
-            _LOG.info("host stays closed", extra={"error": str(error)})
+            # The host stays closed to work; the next refresh tries again.
+            _LOG.info("host not opened", extra={"error": str(error)})
 
     def _open_worker(self, shard, entry):
         reports = self._workers.fence(entry, shard.epoch)
--- a/papayapick/placer/work.py
+++ b/papayapick/placer/work.py
@@ -29,7 +29,7 @@
 
 
 class WorkDispatcher:
-    """Take on durable work and hand it to the runners by deadline.
+    """Admit durable work, dispatch it by deadline and answer waiting callers.
 
     Parameters
     ----------
@@ -39,40 +39,43 @@
     __slots__ = (
         "_cancelling",
         "_condition",
-        "_finished",
-        "_later",
+        "_delayed",
+        "_has_waiters",
         "_lock",
-        "_numbers",
         "_pending",
         "_process",
         "_ready",
-        "_waiting",
+        "_sequence",
+        "_waiters",
     )
 
     def __init__(self, process):
         self._process = process
         self._cancelling = {}
         self._pending = {}
-        self._finished = {}
-        self._later = []
+        self._waiters = {}
+        self._delayed = []
         self._ready = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._lock = threading.RLock()
         self._condition = threading.Condition()
-        self._waiting = threading.Event()
+        self._has_waiters = threading.Event()
 
     @property
     def has_waiters(self):
         """Return the event that is set while callers wait for outcomes."""
-        return self._waiting
+        return self._has_waiters
 
-    def submit(self, shard, wanted, policy):
-        """Take on work once it is durable.
+    def submit(self, shard, submission, policy):
+        """Journal work, and dispatch it once it is durable.
+
+        Work that was submitted before under the same idempotency key is not
+        journaled again; the caller gets its state.
 
         Parameters
         ----------
         shard : Shard
-        wanted : Submit
+        submission : Submit
         policy : ServicePolicy or JobPolicy
 
         Returns
@@ -82,32 +85,35 @@
         Raises
         ------
         KeyReused, JournalUnavailable, JournalFenced
-            Nothing was taken on.
+            The work was not admitted.
         """
         answer = Future()
-        digest = wanted.payload_digest or digest_of(wanted.payload)
+        digest = submission.payload_digest or digest_of(submission.payload)
         stored = None
-        if shard.book.find_repeat(wanted.request_id, digest) is None:
-            # Not under the lock: a slow object store would hold up all others.
-            stored = inline_or_object(self._process.objects, wanted.payload)
+        if shard.book.find_repeat(submission.request_id, digest) is None:
+            # Outside the lock, since a slow object store would block all other
+            # submissions.
+            stored = inline_or_object(self._process.objects, submission.payload)
         with self._lock:
-            item = shard.book.find_repeat(wanted.request_id, digest)
+            item = shard.book.find_repeat(submission.request_id, digest)
             written = None
             if item is None:
-                written = self._pending_or_accept(shard, wanted, policy, digest, stored)
+                written = self._pending_or_accept(
+                    shard, submission, policy, digest, stored
+                )
         if written is None:
-            self._answer(shard, item, wanted.wait_milliseconds, answer)
+            self._answer_or_wait(shard, item, submission.wait_milliseconds, answer)
             return answer
 
-        def answer_written(done):
+        def answer_when_written(done):
             error = done.exception()
             if error is not None:
                 answer.set_exception(error)
                 return
-            item = shard.book.get(wanted.request_id)
-            self._answer(shard, item, wanted.wait_milliseconds, answer)
+            item = shard.book.get(submission.request_id)
+            self._answer_or_wait(shard, item, submission.wait_milliseconds, answer)
 
-        written.add_done_callback(answer_written)
+        written.add_done_callback(answer_when_written)
         return answer
 
     def find(self, shard, request_id):
@@ -117,145 +123,157 @@
     def cancel(self, shard, request_id):
         """Cancel a request that has not been started.
 
-        The journal's order decides between a cancel and a start: a cancel that
-        stands behind the start is void. What is told is what the journal then
-        holds. A second cancel of the request shares the record of the first.
+        The order of the journal decides between a cancellation and a start: a
+        cancellation that follows the start has no effect. The answer is the state
+        according to the journal after the record was written. A second
+        cancellation of the request shares the record of the first.
 
         Returns
         -------
         concurrent.futures.Future of WorkState
+
+        Raises
+        ------
+        WorkUnknown, JournalUnavailable, JournalFenced
         """
         answer = Future()
         item = shard.book.get(request_id)
         if item.state != WAITING:
-            self._tell(item, answer)
+            self._resolve(item, answer)
             return answer
         with self._lock:
             written = self._cancelling.get(request_id)
             if written is None:
                 written = self._append_cancel(shard, request_id)
 
-        def told(done):
+        def resolve(done):
             error = done.exception()
             if error is not None:
                 answer.set_exception(error)
             else:
-                self._tell(item, answer)
+                self._resolve(item, answer)
 
-        written.add_done_callback(told)
+        written.add_done_callback(resolve)
         return answer
 
     def enqueue(self, shard, item, delay=0.0):
-        """Hand an item to the runners, not before a delay in seconds."""
+        """Queue an item for the runners, due after a delay in seconds."""
         start = self._process.clock.monotonic() + delay
         with self._condition:
-            entry = (start, next(self._numbers), shard, item)
-            heapq.heappush(self._later, entry)
+            entry = (start, next(self._sequence), shard, item)
+            heapq.heappush(self._delayed, entry)
             self._condition.notify()
 
     def take(self, seconds):
-        """Return the next due item by earliest deadline.
+        """Remove and return the due item with the earliest deadline.
+
+        Parameters
+        ----------
+        seconds : float
+            Longest time to wait for an item.
 
         Returns
         -------
         (Shard, WorkItem) or None
-            None where nothing came due within ``seconds``.
+            None if no item came due in that time.
         """
         with self._condition:
-            found = self._pop_due()
-            if found is None:
+            due = self._pop_due()
+            if due is None:
                 self._condition.wait(self._sleep_seconds(seconds))
-                found = self._pop_due()
-            if self._later or self._ready:
-                # The others sleep past what came since; one of them looks.
+                due = self._pop_due()
+            if self._delayed or self._ready:
+                # The other runner threads may sleep longer than until the next item
+                # is due, so one of them is woken to compute its wait again.
                 self._condition.notify()
-            return found
+            return due
 
     def answer_waiters(self, item):
-        """Answer all that wait for the end of an item."""
+        """Answer all callers that wait for the end of an item."""
         for waiter in self._pop_waiters(item.request_id):
-            self._tell(item, waiter.answer)
+            self._resolve(item, waiter.answer)
 
     def fail_waiters(self, item, error):
-        """Answer all that wait with an error: the outcome is not journaled."""
+        """Answer all callers that wait with an error instead of an outcome."""
         for waiter in self._pop_waiters(item.request_id):
             _fail(waiter.answer, error)
 
     def answer_overdue(self):
-        """Tell those whose wait is over how far their work is, at once."""
+        """Answer the callers whose wait has ended with the state of their work."""
         now = self._process.clock.monotonic()
         with self._lock:
             overdue = []
-            for request_id, waiters in list(self._finished.items()):
-                kept = [waiter for waiter in waiters if waiter.deadline > now]
+            for request_id, waiters in list(self._waiters.items()):
+                remaining = [waiter for waiter in waiters if waiter.deadline > now]
                 overdue += [waiter for waiter in waiters if waiter.deadline <= now]
-                self._keep_waiters(request_id, kept)
+                self._set_waiters(request_id, remaining)
         for waiter in overdue:
-            self._tell(waiter.item, waiter.answer)
+            self._resolve(waiter.item, waiter.answer)
 
     def fail_shard_waiters(self, shard):
-        """Answer all that wait for work of a shard that has another owner."""
+        """Answer all callers that wait for work of a shard with ``WorkMoved``."""
         with self._lock:
-            left = []
-            for request_id, waiters in list(self._finished.items()):
-                kept = [waiter for waiter in waiters if waiter.shard is not shard]
-                left += [waiter for waiter in waiters if waiter.shard is shard]
-                self._keep_waiters(request_id, kept)
-        for waiter in left:
+            abandoned = []
+            for request_id, waiters in list(self._waiters.items()):
+                remaining = [waiter for waiter in waiters if waiter.shard is not shard]
+                abandoned += [waiter for waiter in waiters if waiter.shard is shard]
+                self._set_waiters(request_id, remaining)
+        for waiter in abandoned:
             error = WorkMoved(
                 request_id=waiter.item.request_id, retry_after=_MOVED_RETRY_SECONDS
             )
             _fail(waiter.answer, error)
 
     def _sleep_seconds(self, seconds):
-        if not self._later:
+        if not self._delayed:
             return seconds
-        due = self._later[0][0] - self._process.clock.monotonic()
+        due = self._delayed[0][0] - self._process.clock.monotonic()
         return min(seconds, max(0.0, due))
 
     def _pop_due(self):
         now = self._process.clock.monotonic()
-        while self._later and self._later[0][0] <= now:
-            _, number, shard, item = heapq.heappop(self._later)
+        while self._delayed and self._delayed[0][0] <= now:
+            _, number, shard, item = heapq.heappop(self._delayed)
             deadline = item.accepted.deadline
             heapq.heappush(self._ready, (deadline, number, shard, item))
         if not self._ready:
             return None
         return heapq.heappop(self._ready)[2:]
 
-    def _pending_or_accept(self, shard, wanted, policy, digest, stored):
-        pending = self._pending.get(wanted.request_id)
+    def _pending_or_accept(self, shard, submission, policy, digest, stored):
+        pending = self._pending.get(submission.request_id)
         if pending is None:
-            return self._accept(shard, wanted, policy, digest, stored)
+            return self._accept(shard, submission, policy, digest, stored)
         pending_digest, written = pending
         if pending_digest != digest:
-            raise KeyReused(request_id=wanted.request_id)
+            raise KeyReused(request_id=submission.request_id)
         return written
 
-    def _accept(self, shard, wanted, policy, digest, stored):
+    def _accept(self, shard, submission, policy, digest, stored):
         inline, name = stored
         record = Accepted(
-            request_id=wanted.request_id,
-            work=wanted.kind,
-            name=wanted.name,
-            caller=wanted.caller,
+            request_id=submission.request_id,
+            work=submission.kind,
+            name=submission.name,
+            caller=submission.caller,
             payload=inline,
             payload_object=name,
             payload_digest=digest,
-            deadline=wanted.deadline_milliseconds / 1000,
+            deadline=submission.deadline_milliseconds / 1000,
             repeatable=policy.repeatable,
-            job=json.loads(wanted.job) if wanted.job else None,
+            job=json.loads(submission.job) if submission.job else None,
         )
         entry = shard.journal.append(record)
         self._pending[record.request_id] = (digest, entry.written)
 
         def run_when_durable(done):
-            # Not before its fate is settled: a repeat under the key would be
-            # refused as "not run" while the first may be in the journal.
+            # The key stays pending until the write is settled. Otherwise a repeat
+            # under the key could be refused as "not run" while the first
+            # submission may be in the journal.
             with self._lock:
                 self._pending.pop(record.request_id, None)
-            # Also after a lost answer: what the journal holds must arrive, and
-            # its caller heard "unknown".
+            # Also after a write whose answer was lost: the caller got "unknown",
+            # and work that is in the journal has to be run.
             if done.result():
                 self.enqueue(shard, shard.book.get(record.request_id))
 
@@ -277,27 +295,27 @@
         entry.settled.add_done_callback(settled)
         return entry.written
 
-    def _answer(self, shard, item, wait_milliseconds, answer):
+    def _answer_or_wait(self, shard, item, wait_milliseconds, answer):
         deadline = self._process.clock.monotonic() + wait_milliseconds / 1000
         with self._lock:
             if item.ended is None and wait_milliseconds:
                 waiter = _Waiter(answer, deadline, shard, item)
-                self._finished.setdefault(item.request_id, []).append(waiter)
-                self._waiting.set()
+                self._waiters.setdefault(item.request_id, []).append(waiter)
+                self._has_waiters.set()
                 return
-        self._tell(item, answer)
+        self._resolve(item, answer)
 
-    def _tell(self, item, answer):
+    def _resolve(self, item, answer):
         if answer.done():
             return
         ended = item.ended
         if ended is not None and ended.result_object:
-            # The object store may be slow, and this may be the journal's task.
-            self._process.executor.submit(self._tell_now, item, answer)
+            # The object store may be slow, and this may be the journal's thread.
+            self._process.executor.submit(self._resolve_now, item, answer)
         else:
-            self._tell_now(item, answer)
+            self._resolve_now(item, answer)
 
-    def _tell_now(self, item, answer):
+    def _resolve_now(self, item, answer):
         try:
             answer.set_result(state_of(item, self._process.objects))
         except PlatformError:
@@ -305,17 +323,17 @@
 
     def _pop_waiters(self, request_id):
         with self._lock:
-            waiters = self._finished.pop(request_id, [])
-            self._keep_waiters(request_id, [])
+            waiters = self._waiters.pop(request_id, [])
+            self._set_waiters(request_id, [])
         return waiters
 
-    def _keep_waiters(self, request_id, kept):
-        if kept:
-            self._finished[request_id] = kept
+    def _set_waiters(self, request_id, waiters):
+        if waiters:
+            self._waiters[request_id] = waiters
         else:
-            self._finished.pop(request_id, None)
-        if not self._finished:
-            self._waiting.clear()
+            self._waiters.pop(request_id, None)
+        if not self._waiters:
+            self._has_waiters.clear()
 
 
 def _fail(answer, error):
