--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -49,17 +49,15 @@
         entries : list of HostEntry
         shards_per_zone : int
         """
-        to_fence = []
+        to_open = []
         listed = self.add_listed(shard, entries, shards_per_zone)
         self._close_unlisted(shard, listed)
         for entry in listed:
             if entry.is_live and not self._is_open(shard, entry):
-                to_fence.append(entry)
+                to_open.append(entry)
             elif not entry.is_live:
                 self._close(shard, entry)
-        futures = [
-            self._executor.submit(self._open, shard, entry) for entry in to_fence
-        ]
+        futures = [self._executor.submit(self._open, shard, entry) for entry in to_open]
         for future in futures:
             future.result()
 
@@ -73,10 +71,10 @@
         -------
         list of HostEntry
         """
-        found = self._listing.of_shard(shard.name, entries, shards_per_zone)
-        for entry in found:
+        listed = self._listing.of_shard(shard.name, entries, shards_per_zone)
+        for entry in listed:
             self._add(shard, entry)
-        return found
+        return listed
 
     def reconcile_grants(self, shard):
         """Query the backend servers about the grants whose end is in doubt."""
--- a/tests/placer/jobcells.py
+++ b/tests/placer/jobcells.py
@@ -1,4 +1,4 @@
-"""One shard with workers in memory, driven step by step with a manual clock."""
+"""A shard with in-memory workers, driven step by step with a manual clock."""
 
 import base64
 import json
@@ -29,6 +29,8 @@
 
 
 class InlineExecutor:
+    """Run each call at once in the calling thread."""
+
     def submit(self, call, *arguments):
         done = Future()
         done.set_result(call(*arguments))
@@ -36,7 +38,10 @@
 
 
 class WorkersPool:
-    """Carry calls of the real worker client to the stand-in, or cut them."""
+    """Pass calls of the real worker client to the stand-in.
+
+    Workers named in ``cut`` can't be reached.
+    """
 
     def __init__(self, workers):
         self.workers = workers
@@ -98,7 +103,7 @@
     def submit(self, name, kind="batch", members=1, work=None, timeout=86400, **demand):
         job = {"members": members, "demand": demand, "work": work or {}}
         body = json.dumps(job)
-        wanted = Submit(
+        submission = Submit(
             shard=self.shard.name,
             request_id=name,
             kind="job",
@@ -111,10 +116,10 @@
             job=body,
         )
         policy = self.process.watcher.bundle.jobs[kind]
-        return self.dispatcher.submit(self.shard, wanted, policy).result()
+        return self.dispatcher.submit(self.shard, submission, policy).result()
 
     def step(self, seconds=0.5):
-        """Let time pass, then do what the placer's loops do."""
+        """Advance the clock, then run the placer's loops once."""
         self.clock.advance(seconds)
         while (found := self.dispatcher.take(0)) is not None:
             self.runner.run(*found)
@@ -132,7 +137,7 @@
         return (found.outcome, found.detail) if found else None
 
     def running(self):
-        """Return the workers on which each job's tasks run."""
+        """Return the workers of the running tasks by job."""
         found = {}
         for worker, tasks in self.workers.running().items():
             for task in tasks:
@@ -141,7 +146,7 @@
 
 
 class WritingJournal(Journal):
-    """Write each record at once, in the calling thread."""
+    """Write each record synchronously in the calling thread."""
 
     __slots__ = ()
 
--- a/tests/placer/test_admission.py
+++ b/tests/placer/test_admission.py
@@ -1,4 +1,4 @@
-"""A job is told "never" only where the live list says so."""
+"""A job is refused as never fitting only according to the live host list."""
 
 import json
 from types import SimpleNamespace
@@ -27,14 +27,16 @@
     Placer._check_job_fits(placer, shard, Submit(job=json.dumps(job)))
 
 
-def test_a_job_that_no_worker_could_hold_is_told_never():
+def test_job_that_fits_no_worker_is_refused_for_good():
     with pytest.raises(NeverFits):
         check((WORKER,), 16001)
 
 
-def test_a_placer_that_has_not_read_the_list_does_not_say_never():
-    """The live list is down when a placer starts, and a member lodges a job that
-    many workers could hold. "Never" is final, and the member would give up.
+def test_job_is_not_refused_for_good_before_the_host_list_is_read():
+    """Guards against a final refusal while the live host list is unavailable.
+
+    A placer that starts without the list knows no workers. If it raised NeverFits,
+    callers would give up jobs that many workers could hold.
     """
     with pytest.raises(ShardClosed) as found:
         check((), 1000)
--- a/tests/placer/test_forwarding.py
+++ b/tests/placer/test_forwarding.py
@@ -1,4 +1,4 @@
-"""A placer passes on what still comes for a shard that it handed over."""
+"""A placer forwards messages for a shard that it has handed over."""
 
 from concurrent.futures import ThreadPoolExecutor
 from types import SimpleNamespace
@@ -18,7 +18,7 @@
 
 
 class FakeClient:
-    """Take the announcement of the handover, then fail in one way."""
+    """Accept the handover message, then fail each call with the given error."""
 
     def __init__(self, error, is_sent):
         self._error = error
@@ -36,7 +36,7 @@
 
 
 class FakeShard:
-    """Stand for a shard that runs nothing."""
+    """A shard without running work."""
 
     name = SHARD
     epoch = 4
@@ -51,6 +51,7 @@
 
 
 def handed_over(monkeypatch, error, is_sent):
+    """Return a handover whose shard has gone to a peer that fails all calls."""
     entry = SimpleNamespace(name="placer-2", zone="hobart-a", region="south-tas")
     heard = SimpleNamespace(draining=False, bundle_sequence=1)
     peer = SimpleNamespace(
@@ -67,9 +68,9 @@
         executor=ThreadPoolExecutor(1),
     )
     owner = SimpleNamespace(close=lambda shard: None)
-    found = ShardHandover(process, owner, running_count=lambda shard: 0)
-    assert found.hand_over(FakeShard())
-    return found
+    handover = ShardHandover(process, owner, running_count=lambda shard: 0)
+    assert handover.hand_over(FakeShard())
+    return handover
 
 
 def slot_request():
@@ -93,34 +94,34 @@
     ],
     ids=["not-connected", "not-connected-there", "broken-off"],
 )
-def test_slot_that_cannot_be_passed_on_is_asked_for_again(monkeypatch, error, is_sent):
-    """Hosts are replaced in turn: the next owner of a shard is stopped as well.
+def test_slot_request_that_cannot_be_forwarded_is_not_run(monkeypatch, error, is_sent):
+    """Guards against outcome unknown for a slot request that was not forwarded.
 
-    A caller was told 503, outcome unknown, of a request that never ran: the
-    placer before passed its gateway's call on to a process that had just gone,
-    and told the connection's error on as if the work itself might have run. A
-    slot is no run, so the gateway is to ask whoever owns the shard now.
+    While hosts are replaced one after the other, the next owner of a shard may be
+    stopped as well. If the former owner returned its connection error unchanged,
+    the caller would get 503 with outcome unknown for a request that never ran. A
+    slot request runs nothing, so the gateway has to retry with the current owner.
     """
-    found = handed_over(monkeypatch, error, is_sent).forward(slot_request(), "")
+    answer = handed_over(monkeypatch, error, is_sent).forward(slot_request(), "")
     with pytest.raises(ShardClosed) as raised:
-        found.result(1)
+        answer.result(1)
     assert raised.value.outcome == "not_run"
 
 
-def test_work_that_was_not_sent_on_is_not_called_unknown(monkeypatch):
-    """The next owner can't be connected to, so it can't have taken on the work."""
+def test_work_that_was_not_forwarded_is_not_unknown(monkeypatch):
+    """The next owner can't be reached, so it can't have admitted the work."""
     error = PeerUnreachable(address=ADDRESS)
-    passed = handed_over(monkeypatch, error, False).forward(_submit(), "")
+    answer = handed_over(monkeypatch, error, False).forward(_submit(), "")
     with pytest.raises(ShardClosed):
-        passed.result(1)
+        answer.result(1)
 
 
 def test_work_whose_answer_was_lost_stays_unknown(monkeypatch):
-    """The next owner went away with the message: it may have journaled it."""
+    """The next owner received the work and may have journaled it."""
     error = PeerDisconnected(address=ADDRESS)
-    passed = handed_over(monkeypatch, error, True).forward(_submit(), "")
+    answer = handed_over(monkeypatch, error, True).forward(_submit(), "")
     with pytest.raises(PeerDisconnected):
-        passed.result(1)
+        answer.result(1)
 
 
 def _submit():
--- a/tests/placer/test_jobs.py
+++ b/tests/placer/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs run whole, once, and end truthfully whatever their workers do."""
+"""Jobs start all members or none, run once and end with the right outcome."""
 
 import threading
 from concurrent.futures import Future, ThreadPoolExecutor
@@ -19,7 +19,7 @@
     return JobCell({f"worker-{number}": capacity for number in range(workers)})
 
 
-def test_a_job_of_several_members_starts_whole_and_ends_once():
+def test_all_members_of_a_job_start_together_and_end_once():
     cell = cell_of(2)
     cell.submit("a", members=8, processors=1000, work={"run_seconds": 2})
     cell.step()
@@ -29,10 +29,11 @@
     assert cell.shard.hosts.free("worker-0") == WORKER
 
 
-def test_a_large_job_starts_although_small_ones_never_stop_coming():
-    """A job of two whole workers is put back every fifth of a second for ever.
+def test_large_job_starts_under_a_constant_arrival_of_small_jobs():
+    """Guards against starvation of large jobs.
 
-    Each time one of the workers has room, a small job that came later takes it.
+    A job that needs two idle workers never starts if small jobs that arrive later
+    take the room whenever one of the workers has some.
     """
     cell = cell_of(2)
     for number in range(8):
@@ -46,12 +47,12 @@
     assert cell.ended("large") == ("done", "")
 
 
-def test_the_task_of_a_worker_that_was_cut_off_is_not_started_twice():
-    """A job is counted twice: it runs on two workers.
+def test_task_of_an_unreachable_worker_is_not_started_twice():
+    """Guards against a job that runs on two workers at once.
 
-    Its worker renewed the lease a moment before it was cut off, long after the
-    start. A lease counted from the start is over at once, and the job is started
-    on another worker while the first still runs it.
+    The lease was renewed just before its worker became unreachable, long after
+    the start. A lease counted from the start would have expired at once, and the
+    job would be started on another worker while the first still runs it.
     """
     cell = cell_of(2)
     cell.submit("a", processors=1000, work={"run_seconds": 500})
@@ -64,7 +65,7 @@
     assert cell.running()["a"] != [worker]
 
 
-def test_a_cut_that_mends_within_the_lease_moves_nothing():
+def test_interruption_shorter_than_the_lease_restarts_nothing():
     cell = cell_of(2)
     cell.submit("a", processors=1000, work={"run_seconds": 60})
     cell.run_for(20)
@@ -81,11 +82,11 @@
     ("kind", "detail", "attempts"),
     [("batch", "work.fails-everywhere", 3), ("once", "work.member-failed", 1)],
 )
-def test_a_job_that_fails_on_every_host_is_ended(kind, detail, attempts):
-    """A job that can't run takes room for ever.
+def test_job_that_fails_on_every_host_is_ended(kind, detail, attempts):
+    """Guards against a failing job that is restarted until its deadline.
 
-    It fails wherever it is started and is started again; its caller waits until
-    the deadline. One not to be repeated is started once.
+    A job that can't run would hold room and keep its caller waiting. A job that
+    is not repeatable is started once.
     """
     cell = cell_of(5)
     cell.submit("a", kind, processors=1000, work={"fail": True})
@@ -95,10 +96,11 @@
     assert not cell.shard.failures.aside
 
 
-def test_a_job_past_its_bound_is_stopped():
-    """A large job waits past the time it was promised.
+def test_job_past_its_run_time_bound_is_stopped():
+    """Guards against runs that exceed their bound.
 
-    A run that should be over goes on and holds the room.
+    The room of such a run may be reserved for a large job, which would then start
+    later than planned.
     """
     cell = cell_of(1)
     cell.submit("a", processors=1000, work={"run_seconds": 5000})
@@ -107,11 +109,11 @@
     assert cell.running() == {}
 
 
-def test_work_that_ran_once_is_never_told_as_not_run():
-    """A member is told "not run", and the work had run.
+def test_work_that_may_have_run_does_not_end_as_not_run():
+    """Guards against the outcome "not run" for work that has run.
 
-    The first start failed after it had begun; the deadline passed while the job
-    waited for its next start.
+    The worker became unreachable after the first start, and the deadline passed
+    while the job waited for its next start.
     """
     cell = cell_of(1)
     cell.submit("a", processors=4000, timeout=8, work={"run_seconds": 100})
@@ -121,7 +123,7 @@
     assert cell.ended("a") == ("unknown", "work.deadline-over")
 
 
-def test_work_that_never_started_is_told_as_not_run():
+def test_work_that_never_started_ends_as_not_run():
     cell = cell_of(1)
     cell.submit("a", processors=4000, work={"run_seconds": 100})
     cell.step()
@@ -130,7 +132,7 @@
     assert cell.ended("b") == ("not_run", "work.deadline-over")
 
 
-def test_a_cancelled_job_never_starts():
+def test_cancelled_job_never_starts():
     cell = cell_of(1)
     cell.submit("a", processors=4000, work={"run_seconds": 5})
     cell.step()
@@ -143,8 +145,8 @@
     assert cell.shard.hosts.free("worker-0") == WORKER
 
 
-def test_a_worker_that_fails_everything_stops_getting_jobs():
-    """Every job goes to the one worker that fails all, as it is always free."""
+def test_worker_that_fails_all_jobs_gets_no_more():
+    """Guards against a broken worker that attracts all jobs by being free."""
     cell = cell_of(12)
     broken = "worker-0"
     for number in range(60):
@@ -158,11 +160,11 @@
     assert outcomes == {("done", "")}
 
 
-def test_an_urgent_job_pauses_deferred_work_which_still_arrives():
-    """An urgent job waits for an overnight job that fills the cell.
+def test_urgent_job_pauses_deferred_work_that_is_resumed_later():
+    """Guards against an urgent job that waits for an overnight job.
 
-    The overnight job has hours to spare. It is checkpointed, and goes on from
-    there once the urgent job is over.
+    The overnight job fills the cell and has hours until its deadline. It is
+    checkpointed and resumed after the urgent job has ended.
     """
     cell = cell_of(2)
     cell.submit("night", members=2, processors=4000, work={"run_seconds": 100})
@@ -177,11 +179,11 @@
 
 
 @pytest.mark.parametrize(("kind", "timeout"), [("once", 86400), ("batch", 700)])
-def test_work_that_must_not_pause_runs_on(kind, timeout):
-    """A deferred job misses its deadline, or a fee run is started again.
+def test_work_that_must_not_be_paused_continues(kind, timeout):
+    """Guards against a pause that costs the deadline or starts a job twice.
 
-    It was paused for an urgent job although its deadline is near, or although
-    it must not be started twice.
+    A deferred job is not paused for an urgent one if its deadline is near, or if
+    it is not repeatable and so must not be started again.
     """
     cell = cell_of(1)
     work = {"run_seconds": 20}
@@ -194,11 +196,11 @@
     assert (cell.ended("held"), cell.ended("rush")) == (("done", ""), ("done", ""))
 
 
-def test_a_pause_that_one_worker_does_not_answer_runs_nothing_twice():
-    """One member is saved, the other runs on, and the job is started again.
+def test_pause_with_an_unreachable_worker_runs_nothing_twice():
+    """Guards against a restart while a member of the paused job still runs.
 
-    Its worker can't be reached while the job is paused; until its lease is over
-    the member may run there.
+    One member is checkpointed. The worker of the other one is unreachable and may
+    run its member until the lease has expired.
     """
     cell = cell_of(2)
     cell.submit("night", members=2, processors=4000, work={"run_seconds": 100})
@@ -216,8 +218,8 @@
     assert cell.workers.overfilled() == 0
 
 
-def test_a_cancelled_job_keeps_no_room_from_others():
-    """A small job waits for the turn of a large one that was cancelled."""
+def test_cancelled_job_holds_no_reservation():
+    """Guards against a small job that waits behind a cancelled large one."""
     cell = cell_of(2)
     cell.submit("first", processors=4000, work={"run_seconds": 500})
     cell.step()
@@ -230,11 +232,11 @@
     assert cell.ended("small") == ("done", "")
 
 
-def test_an_outcome_whose_write_was_lost_is_written_again():
-    """A caller asks for a job for ever and hears that it runs.
+def test_outcome_whose_write_was_lost_is_written_again():
+    """Guards against a job that is reported as running for ever.
 
-    It has ended, but the table was down and its outcome was never written. The
-    job holds no room, so nothing looks at it again.
+    The job has ended, but its outcome was not written since the table was down.
+    The job holds no room by then, so nothing else would end it.
     """
     cell = cell_of(1)
     cell.submit("a", processors=4000, work={"run_seconds": 2})
@@ -248,7 +250,7 @@
 
 
 class LosingJournal:
-    """Leave the fate of the first outcome open."""
+    """Leave the write of the first outcome unsettled."""
 
     def __init__(self, journal):
         self.journal = journal
@@ -265,16 +267,14 @@
     ("members", "processors", "holds"),
     [(8, 1000, True), (9, 1000, False), (2, 3000, True), (3, 3000, False)],
 )
-def test_a_job_that_its_shard_can_never_hold_is_known_at_once(
-    members, processors, holds
-):
-    """A job of nine members waits for a day on a shard that holds eight."""
+def test_job_that_its_shard_can_never_hold_is_detected(members, processors, holds):
+    """Guards against a job of nine members waiting on a shard that holds eight."""
     hosts = cell_of(2).shard.hosts
     assert hosts.could_hold(Amounts(processors), members) is holds
 
 
 class StallingPool:
-    """Hold the call of one worker until the other worker has been called."""
+    """Block the renewal at one worker until the other worker has been called."""
 
     def __init__(self, pool):
         self.pool = pool
@@ -292,11 +292,11 @@
         return self.pool.request(method, url, data)
 
 
-def test_workers_that_do_not_answer_hold_up_no_others_lease():
-    """A rack goes, and jobs on sound workers end with it.
+def test_unresponsive_workers_do_not_delay_the_renewal_of_others():
+    """Guards against a rack failure that ends jobs on healthy workers.
 
-    Each lost worker answers by a timeout. Called one after the other they take
-    longer than a lease, and the leases of all others lapse meanwhile.
+    Each failed worker answers only by a timeout. Sequential calls would take
+    longer than a lease, and the leases of all other workers would expire.
     """
     cell = cell_of(2)
     cell.submit("a", members=2, processors=4000, work={"run_seconds": 1})
--- a/tests/placer/test_jobs_cancelled.py
+++ b/tests/placer/test_jobs_cancelled.py
@@ -1,4 +1,4 @@
-"""Waves of cancellations are told in time and cost a constant each."""
+"""Bursts of cancellations are answered in time and at constant cost each."""
 
 import threading
 from concurrent.futures import wait
@@ -11,15 +11,16 @@
 from tests.placer.test_jobs import cell_of
 from tests.standins import MemoryTable
 
-PATIENCE_SECONDS = 20
+WRITE_TIMEOUT_SECONDS = 20
 
 
-def test_a_wave_is_written_without_a_pause_between_segments():
-    """Ten thousand callers who cancelled wait for most of a minute.
+def test_burst_is_written_without_a_pause_between_segments():
+    """Guards against a journal that sleeps between the segments of one burst.
 
-    A segment holds 256 records. The journal slept for a second after each, as it
-    took the wake-up of the whole wave for that of the first segment. The clock of
-    the test never moves, so a journal that sleeps writes nothing more.
+    A segment holds 256 records. If the wake-up for the whole burst is consumed by
+    its first segment, the journal sleeps for a second after each segment, and ten
+    thousand cancellations take most of a minute. The clock of the test does not
+    advance, so a journal that sleeps writes nothing more.
     """
     table, clock = MemoryTable(), ManualClock()
     row = ShardRow("zone-a.0", "host-1", 1, 1)
@@ -28,7 +29,7 @@
     entries = [journal.append(Cancelled(f"job-{n}", 0.0)) for n in range(600)]
     thread = threading.Thread(target=journal.run)
     thread.start()
-    wait([entry.written for entry in entries], PATIENCE_SECONDS)
+    wait([entry.written for entry in entries], WRITE_TIMEOUT_SECONDS)
     journal.close()
     thread.join()
     assert all(entry.written.exception() is None for entry in entries)
@@ -36,7 +37,7 @@
 
 
 class CountingQueue:
-    """Count the whole passes that a queue's policy makes."""
+    """Count the full passes of a start policy over the queue."""
 
     def __init__(self, policy):
         self.policy = policy
@@ -62,8 +63,8 @@
     return cell
 
 
-def test_jobs_that_come_to_a_full_shard_cost_no_pass_each():
-    """The placer is busy with jobs that can't start, and grants slots late."""
+def test_jobs_submitted_to_a_full_shard_cost_no_pass_each():
+    """Guards against late slot grants while many jobs that can't start arrive."""
     cell = full_cell()
     for number in range(300):
         cell.submit(f"job-{number}", processors=4000)
@@ -71,8 +72,8 @@
     assert cell.shard.jobs._policy.passes <= 2
 
 
-def test_a_wave_of_cancels_costs_no_pass_each():
-    """Each cancelled job makes the queue look at all the others."""
+def test_cancellations_of_a_burst_cost_no_pass_each():
+    """Guards against one pass over the whole queue for each cancelled job."""
     cell = full_cell()
     for number in range(300):
         cell.submit(f"job-{number}", processors=4000)
@@ -86,8 +87,8 @@
     assert cell.shard.jobs._policy.passes <= 2
 
 
-def test_a_shard_that_no_job_fits_still_takes_what_fits():
-    """Small jobs wait behind one that no open host could hold."""
+def test_small_job_starts_despite_a_job_that_fits_no_host():
+    """Guards against small jobs waiting behind one that fits no open host."""
     cell = cell_of(1)
     cell.submit("huge", processors=9000)
     cell.step()
--- a/tests/placer/test_slots_durable.py
+++ b/tests/placer/test_slots_durable.py
@@ -1,4 +1,4 @@
-"""Tell the truth about the slot of a journaled request."""
+"""The slot of a journaled request is released with the right outcome."""
 
 import random
 from concurrent.futures import Future
@@ -17,7 +17,7 @@
 
 
 class FakeJournal:
-    """Write at once."""
+    """Apply each record at once."""
 
     def __init__(self, book):
         self.book = book
@@ -91,11 +91,12 @@
     ],
     ids=lambda found: str(found),
 )
-def test_slot_of_a_journaled_request_is_not_told_free_too_early(step, released):
-    """A backend server gives no answer to a fee run, or says that it leaves.
+def test_slot_of_a_journaled_request_is_not_freed_too_early(step, released):
+    """Guards against a slot that is freed while its run may still be in progress.
 
-    The run may go on; its slot given out again would put more on the server
-    than it holds. A server that leaves must get no more work of any kind.
+    If the backend server does not answer, the run may continue, and a second
+    request in its slot would overload the server. A server that announces that it
+    leaves must get no more work of any kind.
     """
     bench = Bench(step)
     if isinstance(step, ZeroDivisionError):
--- a/tests/placer/test_slots_leaving.py
+++ b/tests/placer/test_slots_leaving.py
@@ -1,4 +1,4 @@
-"""Give a leaving backend server no new work, whoever says that it leaves."""
+"""A leaving backend server gets no new work, however the placer learns of it."""
 
 import random
 from concurrent.futures import ThreadPoolExecutor
@@ -21,7 +21,11 @@
 
 
 class FakeInstances:
-    """Say what runs; ``leaving`` and ``down`` name instances."""
+    """Report no running calls.
+
+    Instances named in ``leaving`` announce that they leave; those in ``down`` can't
+    be reached.
+    """
 
     def __init__(self):
         self.leaving = set()
@@ -36,7 +40,7 @@
 
 
 class FakeShard:
-    """As much of a shard as the reconciler uses for instances."""
+    """The part of a shard that the host reconciler uses for instances."""
 
     name = shard_of("i1", ZONE, SHARDS)
     epoch = 1
@@ -54,7 +58,7 @@
 
 
 class Bench:
-    """Look at the list once a second, as the placer does."""
+    """Refresh the hosts from the list once a second, as the placer does."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -73,7 +77,7 @@
         self.reconciler.refresh(self.shard, entries, SHARDS)
 
     def call(self, outcome="done"):
-        wanted = SlotRequest(
+        request = SlotRequest(
             shard=self.shard.name,
             service="counts",
             request_id="r",
@@ -81,15 +85,15 @@
             run_milliseconds=1000,
             caller="",
         )
-        grant = self.shard.slot_allocator.request(wanted, 0)
-        said = grant.instance in self.instances.leaving and outcome == "done"
+        grant = self.shard.slot_allocator.request(request, 0)
+        is_announced = grant.instance in self.instances.leaving and outcome == "done"
         self.shard.slot_allocator.release(
-            grant.grant_id, "leaving" if said else outcome, 0.01
+            grant.grant_id, "leaving" if is_announced else outcome, 0.01
         )
         return grant.instance
 
     def seconds_with_new_work(self, name, seconds=10):
-        """Return how long after now the last new call went to an instance."""
+        """Return the seconds from now to the last new call to an instance."""
         began = self.clock.monotonic()
         last = 0.0
         for second in range(seconds):
@@ -129,17 +133,17 @@
 
 @pytest.mark.parametrize("leave", [announces, is_listed, both, announces_and_closes])
 def test_leaving_server_gets_no_new_work_after_three_seconds(bench, leave):
-    """A backend server leaves: it says so itself, the list says so, or both.
+    """Guards against calls that are lost with a leaving backend server.
 
-    The list lags in the first case and shows it as live all the time; what is
-    sent after a few seconds is lost with the server.
+    The server announces it in its answers, the host list shows it, or both. In
+    the first case the list lags and shows the server as live throughout.
     """
     leave(bench)
     assert bench.seconds_with_new_work("i1") <= 3.0
 
 
-def test_leaving_server_that_comes_back_gets_work_again(bench):
-    """A deployment is called off; the server stays, and says so no longer."""
+def test_server_that_no_longer_leaves_gets_work_again(bench):
+    """A deployment is aborted: the server stays and ends its announcement."""
     announces(bench)
     bench.seconds_with_new_work("i1")
     bench.instances.leaving.clear()
@@ -149,7 +153,7 @@
 
 
 def test_last_server_that_leaves_gets_no_more_work_either(bench):
-    """Both servers of a service leave; callers must hear of it at once."""
+    """Both servers of a service leave; callers must be refused at once."""
     bench.instances.leaving.update(NAMES)
     for _ in range(2):
         bench.call()
--- a/tests/placer/test_work.py
+++ b/tests/placer/test_work.py
@@ -1,4 +1,4 @@
-"""The desk of durable work answers everybody, in time and truthfully."""
+"""The work dispatcher answers every caller in time and with the right outcome."""
 
 import pytest
 
@@ -17,11 +17,11 @@
 
 
 def test_end_of_the_wait_is_answered_at_once(cell):
-    """A manager waits eight seconds for a refresh that finds no slot.
+    """Guards against outcome unknown for work that waits for a slot.
 
-    The gateway's own timeout said "unknown" some time later, though the work
-    was taken on and was waiting all along. The placer says so at the end of
-    the wait, and the caller gets the place to ask at.
+    A caller waits eight seconds for admitted work. If the placer did not answer at
+    the end of that wait, the gateway's own timeout would answer "unknown" later.
+    The placer answers with the state, and the caller can query the request.
     """
     life = cell.start("placer-1")
     answer = life.submit(ONCE, wait=8.0)
@@ -35,10 +35,10 @@
 
 
 def test_loss_of_the_shard_is_answered_at_once(cell):
-    """A caller waits for a refresh when the placer loses its shard.
+    """Guards against callers left to their timeout when a shard is lost.
 
-    The item was dropped and the caller left to its timeout. Now it hears that
-    the work went to another owner, without a word on whether it ran.
+    The caller is told that the work has moved to another owner; whether it ran is
+    unknown.
     """
     life = cell.start("placer-1")
     answer = life.submit(ONCE)
@@ -49,11 +49,10 @@
     assert (error.code, error.outcome) == ("placer.work-moved", "unknown")
 
 
-def test_cancel_that_comes_after_the_start_does_not_say_not_run(cell):
-    """A member cancels a fee run at the moment it starts.
+def test_cancellation_after_the_start_does_not_answer_not_run(cell):
+    """Guards against "not run" for a cancelled request that is being sent.
 
-    Cancel and start came in one segment, the start first. The cancel was then
-    told as "not run" while the run went out.
+    Start and cancellation are in one segment of the journal, the start first.
     """
     life = cell.start("placer-1")
     life.submit(ONCE)
@@ -69,8 +68,8 @@
     assert life.shard.book.get(ID).ended.outcome == "done"
 
 
-def test_cancel_that_comes_before_the_start_sends_nothing(cell):
-    """The same race with the cancel first: "not run" is told and is true."""
+def test_cancellation_before_the_start_sends_nothing(cell):
+    """In the same race with the cancellation first, "not run" is correct."""
     life = cell.start("placer-1")
     life.submit(ONCE)
     life.settle()
@@ -85,11 +84,11 @@
 
 
 @pytest.mark.parametrize("has_successor", [False, True])
-def test_deadline_after_a_run_that_may_have_been_is_not_not_run(cell, has_successor):
-    """A comparison is sent, its answer is lost, and its deadline passes.
+def test_deadline_after_a_possible_run_does_not_end_as_not_run(cell, has_successor):
+    """Guards against "not run" for a request whose first attempt has run.
 
-    The second try found the deadline over and told the owner "not run", though
-    the first had run.
+    The answer to the first attempt is lost, and the second attempt finds that the
+    deadline has passed.
     """
     life = cell.start("placer-1", {3: LOST})
     life.submit(DEFERRED)
@@ -106,7 +105,7 @@
 
 
 def test_deadline_before_any_send_is_not_run(cell):
-    """Nothing was sent: the connection was refused, so "not run" is true."""
+    """The connection was refused and nothing was sent, so "not run" is correct."""
     life = cell.start("placer-1", {3: DOWN})
     life.submit(ONCE)
     life.settle()
@@ -119,11 +118,11 @@
 
 
 @pytest.mark.parametrize("fault", [DOWN, LOST, LATE])
-def test_key_whose_acceptance_is_open_is_never_told_not_run(cell, fault):
-    """The table's answer to an acceptance is lost; the caller asks again.
+def test_key_with_an_unsettled_acceptance_is_not_refused_as_not_run(cell, fault):
+    """Guards against "not run" for a repeat whose first request is journaled.
 
-    The second request under the key was refused as "not run" while the first
-    was written and about to run.
+    The table's answer to the acceptance record is lost, and the caller repeats the
+    request under the same key while the first one may be about to run.
     """
     faults = {1: fault, **dict.fromkeys(range(2, 6), DOWN)}
     life = cell.start("placer-1", faults)
@@ -137,10 +136,11 @@
     assert cell.runs(ID) == (1 if fault == LOST else 0)
 
 
-def test_result_that_cannot_be_read_back_is_told(cell):
-    """A large result is stored, and the object store goes down at the answer.
+def test_result_that_cannot_be_read_is_answered_with_an_error(cell):
+    """Guards against a read error that is swallowed in a callback.
 
-    The error was swallowed in a callback and the caller left to its timeout.
+    A large result is stored, and the object store fails when the caller is to be
+    answered. Without the error the caller would wait until its timeout.
     """
     life = cell.start("placer-1")
     payload = b'"' + b"x" * 9000 + b'"'
@@ -154,11 +154,11 @@
     assert life.shard.book.get(ID).ended.outcome == "done"
 
 
-def test_fault_in_a_runner_neither_loses_nor_repeats_work(cell):
-    """The code that handles an answer meets a fault of its own.
+def test_error_in_a_runner_neither_loses_nor_repeats_work(cell):
+    """Guards against an item that is dropped after an unexpected exception.
 
-    The item was dropped: nobody was answered and no successor came. A run that
-    may have been is ended as unknown, and never sent again.
+    If the code that handles the answer raises, the caller must be answered all the
+    same. A request that may have run is ended as unknown and never sent again.
     """
     life = cell.start("placer-1")
     answer = life.submit(ONCE)
@@ -170,8 +170,8 @@
     assert answer.result(0).outcome == "unknown"
 
 
-def test_wave_of_cancellations_shares_segments(cell):
-    """An operator cancels 10,000 runs at once; each cost a write of its own."""
+def test_burst_of_cancellations_shares_segments(cell):
+    """Guards against one write per cancellation when 10,000 runs are cancelled."""
     life = cell.start("placer-1")
     for number in range(10_000):
         life.submit(DEFERRED, key=f"c{number}", wait=0)
@@ -179,7 +179,7 @@
     writes = cell.platform.table.writes
     ids = [item.request_id for item in life.shard.book.items]
     with life.held():
-        answers = [life.desk.cancel(life.shard, found) for found in ids]
+        answers = [life.desk.cancel(life.shard, request_id) for request_id in ids]
         again = life.desk.cancel(life.shard, ids[0])
     life.settle()
     # 10,000 records at 256 to a segment, and one compaction.
@@ -190,7 +190,7 @@
     assert not cell.platform.instances.runs()
 
 
-def test_state_of_work_that_was_put_back_unsent(cell):
+def test_state_of_work_that_was_queued_again_unsent(cell):
     life = cell.start("placer-1", {3: DOWN})
     life.submit(ONCE)
     life.settle()
