--- a/papayapick/placer/handover.py
+++ b/papayapick/placer/handover.py
@@ -15,7 +15,8 @@
 
 _LOG = get_logger(__name__)
 _FLUSH_TIMEOUT_SECONDS = 2.0
-# A handover takes a few heartbeats at most, so callers retry soon.
+# A handover takes a few heartbeats at most, so callers retry soon, as with other
+# moved work.
 _MOVED_RETRY_SECONDS = 0.05
 # Consecutive checks at which the preferred owner must be another placer before a
 # shard is returned to it.
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -110,8 +110,8 @@
         name = shard.jobs.promised
         if name is not None and is_ended(name):
             # The job with the reservation was cancelled, so its room is free for
-            # others. All other cancelled jobs are removed with it, since one pass
-            # over the queue for each would delay all other decisions of the process.
+            # others. All cancelled jobs are removed together, since one pass over the
+            # queue for each would delay all other decisions of the process.
             shard.jobs.discard_where(is_ended)
             starts += shard.jobs.choose_starts(now)
         return starts
--- a/papayapick/placer/members.py
+++ b/papayapick/placer/members.py
@@ -43,8 +43,8 @@
         Returns
         -------
         str or None
-            The host that failed to start its member; the members before it may
-            be running. None if all were started.
+            The host whose start call failed; its member and those started before
+            may be running. None if all members were started.
         """
         job = running.job
         demand = job.demand.as_mapping()
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -156,8 +156,8 @@
         Parameters
         ----------
         payload : Payload
-        peer : object
-            The connection of the sender; not used.
+        peer : Hello
+            Identity of the sender; not used.
         traceparent : str
 
         Returns
@@ -204,9 +204,9 @@
         process = self._process
         if not process.watcher.sequence:
             return
-        count = self._shards_per_zone()
+        per_zone = self._shards_per_zone()
         for shard in self.shards:
-            self._host_reconciler.refresh(shard, process.peers.entries, count)
+            self._host_reconciler.refresh(shard, process.peers.entries, per_zone)
             self._host_reconciler.reconcile_grants(shard)
 
     def _shards_per_zone(self):
