--- a/papayapick/placer/listing.py
+++ b/papayapick/placer/listing.py
@@ -19,11 +19,11 @@
     changed stays the same object.
     """
 
-    __slots__ = ("_by_shard", "_capacities", "_count", "_entries", "_lock")
+    __slots__ = ("_by_shard", "_capacities", "_shards_per_zone", "_entries", "_lock")
 
     def __init__(self):
         self._entries = None
-        self._count = 0
+        self._shards_per_zone = 0
         self._by_shard = {}
         self._capacities = frozenset()
         self._lock = threading.Lock()
@@ -42,7 +42,7 @@
         list of HostEntry
         """
         with self._lock:
-            self._use(entries, shards_per_zone)
+            self._update(entries, shards_per_zone)
             return self._by_shard.get(shard, [])
 
     def could_hold(self, demand, entries, shards_per_zone):
@@ -55,12 +55,12 @@
         shards_per_zone : int
         """
         with self._lock:
-            self._use(entries, shards_per_zone)
+            self._update(entries, shards_per_zone)
             # A cell has workers of few sizes, so this set is small.
             return any(demand.fits_in(capacity) for capacity in self._capacities)
 
-    def _use(self, entries, shards_per_zone):
-        if entries is self._entries and shards_per_zone == self._count:
+    def _update(self, entries, shards_per_zone):
+        if entries is self._entries and shards_per_zone == self._shards_per_zone:
             return
         by_shard = {}
         capacities = set()
@@ -74,4 +74,4 @@
                 capacities.add(Amounts.from_mapping(entry.capacity))
         self._by_shard = by_shard
         self._capacities = frozenset(capacities)
-        self._entries, self._count = entries, shards_per_zone
+        self._entries, self._shards_per_zone = entries, shards_per_zone
--- a/tests/placer/jobcells.py
+++ b/tests/placer/jobcells.py
@@ -51,8 +51,8 @@
         name, _, path = url.rpartition("/")
         if name in self.cut:
             raise WorkerUnreachable(worker=name)
-        status, found = self.workers.call(name, path, json.loads(data))
-        return HttpAnswer(status, {}, json.dumps(found).encode())
+        status, result = self.workers.call(name, path, json.loads(data))
+        return HttpAnswer(status, {}, json.dumps(result).encode())
 
 
 class JobCell:
@@ -121,8 +121,8 @@
     def step(self, seconds=0.5):
         """Advance the clock, then run the placer's loops once."""
         self.clock.advance(seconds)
-        while (found := self.dispatcher.take(0)) is not None:
-            self.runner.run(*found)
+        while (due := self.dispatcher.take(0)) is not None:
+            self.runner.run(*due)
         self.runner.renew(self.shard)
 
     def run_for(self, seconds):
@@ -133,16 +133,16 @@
         return self.shard.book.get(name)
 
     def ended(self, name):
-        found = self.item(name).ended
-        return (found.outcome, found.detail) if found else None
+        ended = self.item(name).ended
+        return (ended.outcome, ended.detail) if ended else None
 
     def running(self):
         """Return the workers of the running tasks by job."""
-        found = {}
+        by_job = {}
         for worker, tasks in self.workers.running().items():
             for task in tasks:
-                found.setdefault(task.split(".")[0], []).append(worker)
-        return found
+                by_job.setdefault(task.split(".")[0], []).append(worker)
+        return by_job
 
 
 class WritingJournal(Journal):
--- a/tests/placer/test_admission.py
+++ b/tests/placer/test_admission.py
@@ -38,7 +38,7 @@
     A placer that starts without the list knows no workers. If it raised NeverFits,
     callers would give up jobs that many workers could hold.
     """
-    with pytest.raises(ShardClosed) as found:
+    with pytest.raises(ShardClosed) as raised:
         check((), 1000)
-    assert found.value.outcome == "not_run"
-    assert found.value.retry_after > 0
+    assert raised.value.outcome == "not_run"
+    assert raised.value.retry_after > 0
--- a/tests/placer/test_slots.py
+++ b/tests/placer/test_slots.py
@@ -82,11 +82,11 @@
     """
     bench = Bench()
     grant = bench.request_slot()
-    flood = [bench.request_slot(wait=9, caller="flood") for _ in range(50)]
+    burst = [bench.request_slot(wait=9, caller="flood") for _ in range(50)]
     single = bench.request_slot(wait=9, caller="ben")
     for _ in range(2):
         bench.allocator.release(grant.grant_id)
-        done = [found for found in [*flood, single] if found.done()]
+        done = [future for future in [*burst, single] if future.done()]
         grant = done[-1].result(0)
     assert single.done()
 
@@ -99,11 +99,11 @@
     """
     bench = Bench()
     bench.request_slot()
-    flood = [bench.request_slot(wait=9, caller="flood", limit=10) for _ in range(10)]
+    burst = [bench.request_slot(wait=9, caller="flood", limit=10) for _ in range(10)]
     other = bench.request_slot(wait=9, caller="ben", limit=10)
     assert not other.done()
-    assert isinstance(flood[-1].exception(0), WaitingQueueFull)
-    assert sum(found.done() for found in flood) == 1
+    assert isinstance(burst[-1].exception(0), WaitingQueueFull)
+    assert sum(future.done() for future in burst) == 1
     with pytest.raises(WaitingQueueFull):
         bench.request_slot(wait=9, caller="flood", limit=10)
 
@@ -121,7 +121,7 @@
     waiting = [bench.request_slot(wait=1.0) for _ in range(10)]
     with pytest.raises(WaitTooLong) as caught:
         bench.request_slot(wait=1.0)
-    assert not any(found.done() for found in waiting)
+    assert not any(future.done() for future in waiting)
     assert 1.1 <= caught.value.retry_after <= 2.2
     bench.request_slot(wait=1.2)
 
@@ -140,7 +140,7 @@
 
 
 def test_slower_drain_refuses_requests_that_can_not_be_served_in_time():
-    """Guards against requests that wait until their deadline without a chance.
+    """Guards against requests that wait although they can't be served any more.
 
     When a third of the servers fail while requests wait, the last requests are
     refused as soon as the drain rate has dropped and not at their deadline.
@@ -152,12 +152,12 @@
     for _ in range(20):
         bench.clock.advance(0.05)
         bench.allocator.release(grant.grant_id)
-        grant = next(found for found in waiting if found.done()).result(0)
-        waiting = [found for found in waiting if not found.done()]
+        grant = next(future for future in waiting if future.done()).result(0)
+        waiting = [future for future in waiting if not future.done()]
     bench.allocator.expire()
-    refused = [found for found in waiting if found.done()]
+    refused = [future for future in waiting if future.done()]
     assert 40 < len(refused) < 60
-    assert all(isinstance(found.exception(0), SlotWaitExpired) for found in refused)
+    assert all(isinstance(future.exception(0), SlotWaitExpired) for future in refused)
 
 
 def test_slot_in_doubt_is_held_until_the_server_reports_the_end():
@@ -206,7 +206,7 @@
     first = bench.request_slot()
     bench.allocator.release(first.grant_id, "leaving", 0.01)
     others = [bench.request_slot() for _ in range(2)]
-    assert first.instance not in {found.instance for found in others}
+    assert first.instance not in {grant.instance for grant in others}
     assert not bench.ledger.is_open(first.instance)
 
 
--- a/tests/placer/test_slots_durable.py
+++ b/tests/placer/test_slots_durable.py
@@ -60,7 +60,7 @@
         self.shard = SimpleNamespace(is_closed=False, journal=FakeJournal(book))
         self.item = book.get("r1")
         desk = SimpleNamespace(
-            enqueue=lambda *found: None, answer_waiters=lambda item: None
+            enqueue=lambda *arguments: None, answer_waiters=lambda item: None
         )
         self.runner = RequestRunner(process, self, self, desk)
 
@@ -89,7 +89,7 @@
         (StaleEpoch(target="u", epoch=1), "unused"),
         (ZeroDivisionError(), "unknown"),
     ],
-    ids=lambda found: str(found),
+    ids=lambda step: str(step),
 )
 def test_slot_of_a_journaled_request_is_not_freed_too_early(step, released):
     """Guards against a slot that is freed while its run may still be in progress.
--- a/tests/placer/test_slots_leaving.py
+++ b/tests/placer/test_slots_leaving.py
@@ -108,9 +108,9 @@
 
 @pytest.fixture
 def bench():
-    found = Bench()
-    yield found
-    found.executor.shutdown()
+    new_bench = Bench()
+    yield new_bench
+    new_bench.executor.shutdown()
 
 
 def announces(bench):
@@ -136,7 +136,8 @@
     """Guards against calls that are lost with a leaving backend server.
 
     The server announces it in its answers, the host list shows it, or both. In
-    the first case the list lags and shows the server as live throughout.
+    the first case the list lags and shows the server as live throughout. Calls
+    sent more than a few seconds later are lost with the server.
     """
     leave(bench)
     assert bench.seconds_with_new_work("i1") <= 3.0
--- a/tests/placer/test_work.py
+++ b/tests/placer/test_work.py
@@ -37,8 +37,8 @@
 def test_loss_of_the_shard_is_answered_at_once(cell):
     """Guards against callers left to their timeout when a shard is lost.
 
-    The caller is told that the work has moved to another owner; whether it ran is
-    unknown.
+    The caller gets an error that the work has moved to another owner; whether it
+    ran is unknown.
     """
     life = cell.start("placer-1")
     answer = life.submit(ONCE)
