--- a/papayapick/placer/__init__.py
+++ b/papayapick/placer/__init__.py
@@ -1,10 +1,10 @@
-"""The process that owns shards of hosts and places work on them."""
+"""The placer process, which owns shards of hosts and places work on them."""
 
 from papayapick.placer.exceptions import (
     PlacerError,
     ShardClosed,
-    WaitingFull,
-    WaitOver,
+    SlotWaitExpired,
+    WaitingQueueFull,
 )
 
-__all__ = ["PlacerError", "ShardClosed", "WaitOver", "WaitingFull"]
+__all__ = ["PlacerError", "ShardClosed", "SlotWaitExpired", "WaitingQueueFull"]
--- a/papayapick/placer/listing.py
+++ b/papayapick/placer/listing.py
@@ -1,4 +1,4 @@
-"""Group the hosts of the live list by shard, once for each list."""
+"""Group the hosts of the live host list by shard, once per list version."""
 
 import threading
 
@@ -10,19 +10,20 @@
 
 
 class HostListing:
-    """Give the hosts of a shard, and what the largest workers hold.
+    """Look up the hosts of a shard and the capacities of the workers.
 
-    A list has an entry for each worker and instance of the cell. Going through
-    it for each shard at each look costs more than all else a look does; so it
-    is done when a list is seen first. The list read last is known by its
-    identity: a list that has not changed stays the same object.
+    The live host list has an entry for each worker and instance of the cell.
+    Scanning it for each shard at each refresh would cost more than the rest of
+    the refresh, so the entries are grouped once when a list is first seen. The
+    current list is recognized by object identity, since a list that has not
+    changed stays the same object.
     """
 
-    __slots__ = ("_by_shard", "_capacities", "_count", "_entries", "_lock")
+    __slots__ = ("_by_shard", "_capacities", "_shards_per_zone", "_entries", "_lock")
 
     def __init__(self):
         self._entries = None
-        self._count = 0
+        self._shards_per_zone = 0
         self._by_shard = {}
         self._capacities = frozenset()
         self._lock = threading.Lock()
@@ -41,11 +42,11 @@
         list of HostEntry
         """
         with self._lock:
-            self._use(entries, shards_per_zone)
+            self._update(entries, shards_per_zone)
             return self._by_shard.get(shard, [])
 
     def could_hold(self, demand, entries, shards_per_zone):
-        """Return whether any worker of the cell could hold a demand if empty.
+        """Return whether a demand fits any worker of the cell when it is idle.
 
         Parameters
         ----------
@@ -54,12 +55,12 @@
         shards_per_zone : int
         """
         with self._lock:
-            self._use(entries, shards_per_zone)
-            # Workers are bought in a few sizes, so this set is small.
+            self._update(entries, shards_per_zone)
+            # A cell has workers of few sizes, so this set is small.
             return any(demand.fits_in(capacity) for capacity in self._capacities)
 
-    def _use(self, entries, shards_per_zone):
-        if entries is self._entries and shards_per_zone == self._count:
+    def _update(self, entries, shards_per_zone):
+        if entries is self._entries and shards_per_zone == self._shards_per_zone:
             return
         by_shard = {}
         capacities = set()
@@ -73,4 +74,4 @@
                 capacities.add(Amounts.from_mapping(entry.capacity))
         self._by_shard = by_shard
         self._capacities = frozenset(capacities)
-        self._entries, self._count = entries, shards_per_zone
+        self._entries, self._shards_per_zone = entries, shards_per_zone
