--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -19,13 +19,13 @@
 from papayapick.pool.forgetting import forget_jobs
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
 from papayapick.pool.laggards import Laggards
-from papayapick.pool.lists import WorkerLists
 from papayapick.pool.lives import LifeCheck
 from papayapick.pool.loop import DecisionLoop
 from papayapick.pool.metrics import TAKEOVERS
 from papayapick.pool.news import News
 from papayapick.pool.orders import Orders
 from papayapick.pool.recording import RecordingMode
+from papayapick.pool.report_handler import WorkerLists
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
