--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -25,7 +25,7 @@
 from papayapick.pool.news import News
 from papayapick.pool.orders import Orders
 from papayapick.pool.recording import RecordingMode
-from papayapick.pool.report_handler import WorkerLists
+from papayapick.pool.report_handler import WorkerReportHandler
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
@@ -124,7 +124,7 @@
         self.standing = Standing(host)
         self.settling = Settling(self, is_journal_exact)
         self.sources = Sources(self)
-        self.lists = WorkerLists(self)
+        self.lists = WorkerReportHandler(self)
         self.advising = Advising(self)
         self.decisions = Decisions(self)
         self.laggards = Laggards(self)
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -15,10 +15,10 @@
 from papayapick.pool.reports import EndOutcome, run_fields
 from papayapick.pool.settling import QUIET_SECONDS
 
-__all__ = ["WorkerLists"]
+__all__ = ["WorkerReportHandler"]
 
 
-class WorkerLists:
+class WorkerReportHandler:
     """Hear the links to workers, and keep book and rooms in step with their lists.
 
     Parameters
