--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -19,7 +19,7 @@
 from papayapick.pool.forgetting import forget_jobs
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
 from papayapick.pool.laggards import Laggards
-from papayapick.pool.lives import LifeCheck
+from papayapick.pool.liveness import LifeCheck
 from papayapick.pool.loop import DecisionLoop
 from papayapick.pool.metrics import TAKEOVERS
 from papayapick.pool.news import News
--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -5,7 +5,7 @@
 from papayapick.jobs import RunPhase
 from papayapick.platform.exceptions import CheckFailed
 from papayapick.platform.machines import Machine
-from papayapick.pool.lives import LifeCheck
+from papayapick.pool.liveness import LifeCheck
 from tests.pool.owners import (
     host_with_two_workers,
     job,
