--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -8,7 +8,7 @@
 from papayapick.platform.exceptions import CheckFailed
 from papayapick.pool.events import MACHINES_DISTRUSTED, MACHINES_UNREAD
 
-__all__ = ["LifeCheck"]
+__all__ = ["LivenessCheck"]
 
 _LOOK_SECONDS = 0.1
 # The list is read so often at most while a worker with runs is silent; each call is
@@ -21,7 +21,7 @@
 _TRUSTED_SHARE = 0.5
 
 
-class LifeCheck:
+class LivenessCheck:
     """Give up the runs of workers whose machine has no such life any more.
 
     Parameters
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -19,7 +19,7 @@
 from papayapick.pool.forgetting import forget_jobs
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
 from papayapick.pool.laggards import Laggards
-from papayapick.pool.liveness import LifeCheck
+from papayapick.pool.liveness import LivenessCheck
 from papayapick.pool.loop import DecisionLoop
 from papayapick.pool.metrics import TAKEOVERS
 from papayapick.pool.news import News
@@ -195,7 +195,7 @@
             ):
                 self.submit(name, step)
             if self.host.machines.is_there:
-                self.submit("lives", LifeCheck(self, self.host.machines).run)
+                self.submit("lives", LivenessCheck(self, self.host.machines).run)
                 self.submit("upkeep", Upkeep(self, self.host.machines).run)
         TAKEOVERS.inc()
         POOL_TAKEN.write(
--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -5,7 +5,7 @@
 from papayapick.jobs import RunPhase
 from papayapick.platform.exceptions import CheckFailed
 from papayapick.platform.machines import Machine
-from papayapick.pool.liveness import LifeCheck
+from papayapick.pool.liveness import LivenessCheck
 from tests.pool.owners import (
     host_with_two_workers,
     job,
@@ -55,7 +55,7 @@
 
 
 def look(load, machines):
-    LifeCheck(load.owner, machines).look()
+    LivenessCheck(load.owner, machines).look()
     (job,) = load.owner.book.jobs()
     return len(job.occurrences[0][0].waiting)
 
@@ -123,7 +123,7 @@
 ):
     """Guards against a standstill after each takeover beside one crashed worker."""
     owner = _taken_over(recorded_at, is_journal_exact)
-    LifeCheck(owner, Machines("w1", "")).look()
+    LivenessCheck(owner, Machines("w1", "")).look()
     assert [run.worker for run in place(owner)] == ["w1"]
     assert owner.settling.is_settled
 
@@ -131,7 +131,7 @@
 def test_new_owner_waits_for_a_worker_that_is_cut_off():
     """Guards against a second run of what goes on behind a cut."""
     owner = _taken_over("w2", is_journal_exact=False)
-    LifeCheck(owner, Machines("w1", "w2")).look()
+    LivenessCheck(owner, Machines("w1", "w2")).look()
     assert place(owner) == []
     assert not owner.settling.is_settled
 
@@ -139,7 +139,7 @@
 def test_new_owner_reads_no_machines_once_it_knows_all_workers():
     """Guards against paid calls that nobody needs."""
     owner = _taken_over("w2", is_journal_exact=False)
-    check = LifeCheck(owner, Machines("w1", ""))
+    check = LivenessCheck(owner, Machines("w1", ""))
     assert check._silent_links()
     check.look()
     assert not check._silent_links()
@@ -151,7 +151,7 @@
     store_job(host, job(), started_record("w2"))
     owner = owner_of(host, is_journal_exact=False)
     report(owner, "w1")
-    check = LifeCheck(owner, Machines("w1", ""))
+    check = LivenessCheck(owner, Machines("w1", ""))
     assert not check._silent_links()
     host.clock.advance(0.3)
     assert [link.worker for link in check._silent_links()] == ["w2"]
