--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -22,7 +22,6 @@
 from papayapick.pool.liveness import LivenessCheck
 from papayapick.pool.loop import DecisionLoop
 from papayapick.pool.metrics import TAKEOVERS
-from papayapick.pool.news import News
 from papayapick.pool.orders import Orders
 from papayapick.pool.recording import RecordingMode
 from papayapick.pool.report_handler import WorkerReportHandler
@@ -30,6 +29,7 @@
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
 from papayapick.pool.standing import Standing
+from papayapick.pool.status_feed import News
 from papayapick.pool.upkeep import Upkeep
 
 __all__ = ["PoolOwner"]
