--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -29,7 +29,7 @@
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
 from papayapick.pool.standing import Standing
-from papayapick.pool.status_feed import News
+from papayapick.pool.status_feed import StatusFeed
 from papayapick.pool.upkeep import Upkeep
 
 __all__ = ["PoolOwner"]
@@ -128,7 +128,7 @@
         self.advising = Advising(self)
         self.decisions = Decisions(self)
         self.laggards = Laggards(self)
-        self.news = News(self)
+        self.news = StatusFeed(self)
         self.loop = DecisionLoop(self)
 
     # What it is, and whether it may decide.
--- a/papayapick/pool/status_feed.py
+++ b/papayapick/pool/status_feed.py
@@ -6,13 +6,13 @@
 from papayapick.jobs.state import JobStatus
 from papayapick.placement.timeliness import useful_seconds
 
-__all__ = ["News"]
+__all__ = ["StatusFeed"]
 
 # Callers may be told a number that is two seconds old.
 _COUNT_SECONDS = 0.1
 
 
-class News:
+class StatusFeed:
     """Read an owner's book for the hosts that answer callers.
 
     Parameters
