--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -16,7 +16,6 @@
     POOL_TAKEN,
     RECORDING_CHANGED,
 )
-from papayapick.pool.forgetting import forget_jobs
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
 from papayapick.pool.laggards import Laggards
 from papayapick.pool.liveness import LivenessCheck
@@ -25,6 +24,7 @@
 from papayapick.pool.orders import Orders
 from papayapick.pool.recording import RecordingMode
 from papayapick.pool.report_handler import WorkerReportHandler
+from papayapick.pool.retention import forget_jobs
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
--- a/tests/pool/test_waits.py
+++ b/tests/pool/test_waits.py
@@ -7,7 +7,7 @@
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.pool import decisions
 from papayapick.pool.decisions import WaitReason
-from papayapick.pool.forgetting import forget_jobs
+from papayapick.pool.retention import forget_jobs
 from tests.pool.standins import Replay
 
 ADVISED = Queue(
