--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -24,7 +24,7 @@
 from papayapick.pool.orders import Orders
 from papayapick.pool.recording import RecordingMode
 from papayapick.pool.report_handler import WorkerReportHandler
-from papayapick.pool.retention import forget_jobs
+from papayapick.pool.retention import delete_expired_jobs
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
@@ -277,7 +277,7 @@
     def forget_old_jobs(self, now):
         """Let jobs that have been over for long be dropped from store and memory."""
         if not self.is_stopped:
-            self._executor.submit(forget_jobs, self, self.host, now)
+            self._executor.submit(delete_expired_jobs, self, self.host, now)
 
     def note_commit(self, seconds):
         """Take in a commit, or with None one that the store did not take."""
--- a/papayapick/pool/retention.py
+++ b/papayapick/pool/retention.py
@@ -7,7 +7,7 @@
 from papayapick.pool.journal import CANCEL_SUFFIX, JOBS_TABLE, PROGRESS_TABLE
 from papayapick.pool.partitions import job_partition
 
-__all__ = ["forget_jobs"]
+__all__ = ["delete_expired_jobs"]
 
 # Each job has up to three rows, and a transaction takes 100 entries.
 _JOBS_PER_CALL = 30
@@ -15,7 +15,7 @@
 _KEEP_SLACK_SECONDS = 30.0
 
 
-def forget_jobs(owner, host, now):
+def delete_expired_jobs(owner, host, now):
     """Remove the rows of jobs that finished long ago; one batch.
 
     Parameters
--- a/tests/pool/test_waits.py
+++ b/tests/pool/test_waits.py
@@ -7,7 +7,7 @@
 from papayapick.jobs import AdvicePolicy, Queue
 from papayapick.pool import decisions
 from papayapick.pool.decisions import WaitReason
-from papayapick.pool.retention import forget_jobs
+from papayapick.pool.retention import delete_expired_jobs
 from tests.pool.standins import Replay
 
 ADVISED = Queue(
@@ -115,6 +115,6 @@
     with load.owner.lock:
         load.owner.book.cancel(identifier, load.now)
         job.durable_status = job.status
-    forget_jobs(load.owner, host, load.now + 200.0)
+    delete_expired_jobs(load.owner, host, load.now + 200.0)
     assert load.owner.book.get(identifier) is None
     assert load.owner.advising.status(step, load.now).asked_seconds is None
