--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -16,7 +16,7 @@
 from papayapick.ownership.pools import OwnershipLost, PoolRow, read_pool, take_pool
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.recording import TRUST_SECONDS
-from papayapick.pool.sources import check_readable
+from papayapick.pool.store_sync import check_readable
 
 __all__ = ["Candidacy"]
 
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -27,9 +27,9 @@
 from papayapick.pool.retention import delete_expired_jobs
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.settling import Settling
-from papayapick.pool.sources import Sources
 from papayapick.pool.standing import Standing
 from papayapick.pool.status_feed import StatusFeed
+from papayapick.pool.store_sync import Sources
 from papayapick.pool.upkeep import Upkeep
 
 __all__ = ["PoolOwner"]
--- a/tests/entry/test_followers.py
+++ b/tests/entry/test_followers.py
@@ -10,7 +10,7 @@
 from papayapick.clock import ManualClock
 from papayapick.entry.process import EntryHost
 from papayapick.platform.store import Store
-from papayapick.pool.sources import Sources
+from papayapick.pool.store_sync import Sources
 
 # Jobs that were accepted wait for so long at most before their owner asks again.
 NOTICED_SECONDS = 1.0
