--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -29,7 +29,7 @@
 from papayapick.pool.settling import Settling
 from papayapick.pool.standing import Standing
 from papayapick.pool.status_feed import StatusFeed
-from papayapick.pool.store_sync import Sources
+from papayapick.pool.store_sync import StoreSync
 from papayapick.pool.upkeep import Upkeep
 
 __all__ = ["PoolOwner"]
@@ -123,7 +123,7 @@
         self.recording = RecordingMode(host.clock)
         self.standing = Standing(host)
         self.settling = Settling(self, is_journal_exact)
-        self.sources = Sources(self)
+        self.sources = StoreSync(self)
         self.lists = WorkerReportHandler(self)
         self.advising = Advising(self)
         self.decisions = Decisions(self)
--- a/papayapick/pool/store_sync.py
+++ b/papayapick/pool/store_sync.py
@@ -13,7 +13,7 @@
 from papayapick.pool.links import WorkerLink
 from papayapick.pool.partitions import job_partitions
 
-__all__ = ["Sources", "check_readable"]
+__all__ = ["StoreSync", "check_readable"]
 
 # Each worker writes its entry every second or so, and hardly any has news: a call for
 # each change would be most of what an owner asks of the store. A worker that leaves is
@@ -54,7 +54,7 @@
     list(host.executor.map(lambda place: host.store.read(*place, limit=1), places))
 
 
-class Sources:
+class StoreSync:
     """Bring jobs and workers from the store into an owner's book and rooms.
 
     Parameters
--- a/tests/entry/test_followers.py
+++ b/tests/entry/test_followers.py
@@ -10,7 +10,7 @@
 from papayapick.clock import ManualClock
 from papayapick.entry.process import EntryHost
 from papayapick.platform.store import Store
-from papayapick.pool.store_sync import Sources
+from papayapick.pool.store_sync import StoreSync
 
 # Jobs that were accepted wait for so long at most before their owner asks again.
 NOTICED_SECONDS = 1.0
@@ -71,7 +71,7 @@
         return event.is_set()
 
 
-class SeenSources(Sources):
+class SeenSources(StoreSync):
     """Keep the rows of workers that come."""
 
     def __init__(self, owner):
