--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -30,7 +30,7 @@
 from papayapick.pool.standing import Standing
 from papayapick.pool.status_feed import StatusFeed
 from papayapick.pool.store_sync import StoreSync
-from papayapick.pool.upkeep import Upkeep
+from papayapick.pool.upkeep import UpkeepCoordinator
 
 __all__ = ["PoolOwner"]
 
@@ -196,7 +196,7 @@
                 self.submit(name, step)
             if self.host.machines.is_there:
                 self.submit("lives", LivenessCheck(self, self.host.machines).run)
-                self.submit("upkeep", Upkeep(self, self.host.machines).run)
+                self.submit("upkeep", UpkeepCoordinator(self, self.host.machines).run)
         TAKEOVERS.inc()
         POOL_TAKEN.write(
             pool=self.pool,
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -22,7 +22,7 @@
     WAVE_STATUS,
 )
 
-__all__ = ["Upkeep"]
+__all__ = ["UpkeepCoordinator"]
 
 WAVES_TABLE = "waves"
 _LOOK_SECONDS = 0.25
@@ -46,7 +46,7 @@
         self.is_told = False
 
 
-class Upkeep:
+class UpkeepCoordinator:
     """Empty machines, order their upkeep, and tell how far each wave is.
 
     Each order is recorded before it leaves: one without an answer may be carried out
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -11,7 +11,7 @@
 from papayapick.placement.waves import Wave, WaveRecord, choose_machines
 from papayapick.platform.exceptions import CheckFailed
 from papayapick.platform.machines import Machine, UpkeepOutcome
-from papayapick.pool.upkeep import WAVES_TABLE, Upkeep
+from papayapick.pool.upkeep import WAVES_TABLE, UpkeepCoordinator
 from tests.pool.standins import QUEUE, Replay, Worker, _registration
 
 UPKEEP_SECONDS = 2.0
@@ -148,7 +148,7 @@
         self.take_over()
 
     def take_over(self):
-        self.upkeep = Upkeep(self.load.owner, self.machines)
+        self.upkeep = UpkeepCoordinator(self.load.owner, self.machines)
 
     def run(self, seconds, tasks=0):
         for _ in range(round(seconds / 0.5)):
