--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -52,7 +52,7 @@
         record is durable.
     lapse_at : float
         Monotonic seconds after which no lease given by this owner is in force.
-    is_inventoried : bool
+    has_reported : bool
         Whether it has answered this owner, so that it refuses older ones.
     """
 
@@ -67,7 +67,7 @@
         "born",
         "client",
         "failed_since",
-        "is_inventoried",
+        "has_reported",
         "is_listed",
         "is_stopped",
         "lapse_at",
@@ -89,7 +89,7 @@
         self.processed = 0
         self.born = None
         self.failed_since = None
-        self.is_inventoried = False
+        self.has_reported = False
         # Whether the platform's list names it now.
         self.is_listed = True
         self.is_stopped = False
--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -64,7 +64,7 @@
         self._owner.wake()
 
     def _give_up(self, link):
-        if link.is_inventoried:
+        if link.has_reported:
             self._owner.lists.lose_seen_runs(link)
         else:
             self._owner.settling.note_gone(link.worker, self._owner.now())
@@ -79,13 +79,13 @@
 
     def _is_quiet(self, link):
         """Return whether a worker does not answer, or has not in time."""
-        if link.is_inventoried or link.is_silent:
+        if link.has_reported or link.is_silent:
             return link.is_silent
         return self._owner.now() - self._owner.taken_at > _FIRST_ANSWER_SECONDS
 
     def _is_of_interest(self, link):
         """Return whether something may run on a worker that does not answer."""
-        if not link.is_inventoried:
+        if not link.has_reported:
             return self._owner.settling.waits_for(link.worker)
         runs = self._owner.rooms.get(link.worker).runs.values()
         return any(run.has_begun for run in runs)
@@ -99,7 +99,7 @@
         answering = {
             link.worker
             for link in self._owner.links()
-            if link.is_inventoried and not link.is_silent and link.is_listed
+            if link.has_reported and not link.is_silent and link.is_listed
         }
         # Some of them may have crashed since they last answered.
         is_trusted = len(answering & alive) > _TRUSTED_SHARE * len(answering)
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -92,7 +92,7 @@
 
     def _lapse_floor(self, link):
         # What an earlier owner started there is under a lease that it gave.
-        return 0.0 if link.is_inventoried else self._owner.taken_at + QUIET_SECONDS
+        return 0.0 if link.has_reported else self._owner.taken_at + QUIET_SECONDS
 
     def _tick_run(self, link, run, now):
         if run.phase == RunPhase.UNSURE:
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -70,8 +70,8 @@
                 self._take_runs(link, room, report, now)
                 if not report.has_more_ends:
                     self._drop_vanished(room, report, asked_at, now)
-            if not link.is_inventoried:
-                link.is_inventoried = True
+            if not link.has_reported:
+                link.has_reported = True
                 # What an earlier owner started there is under a lease that it gave.
                 link.lapse_at = max(link.lapse_at, self._owner.taken_at + QUIET_SECONDS)
                 self._owner.settling.note_inventory(now)
@@ -121,7 +121,7 @@
         with self._owner.lock:
             self._lose(link, "began anew", lambda run: run.name not in listed)
             link.begin_life(born)
-            if not link.is_inventoried:
+            if not link.has_reported:
                 self._owner.settling.note_gone(link.worker, self._owner.now())
         self._owner.wake()
 
@@ -130,7 +130,7 @@
         room = self._owner.rooms.get(link.worker)
         if room is not None:
             room.is_open = (
-                link.is_inventoried
+                link.has_reported
                 and not link.is_silent
                 and not link.registration.is_leaving
                 and not room.is_emptied
--- a/papayapick/pool/settling.py
+++ b/papayapick/pool/settling.py
@@ -79,7 +79,7 @@
         silent = sorted(
             link.worker
             for link in self._owner.links_by_worker.values()
-            if not (link.is_inventoried or link.worker in self._gone)
+            if not (link.has_reported or link.worker in self._gone)
         )
         is_over = now > self._owner.taken_at + QUIET_SECONDS
         self._owner.book.let_go(
@@ -105,7 +105,7 @@
         """
         if task.place:
             link = self._owner.links_by_worker.get(task.place)
-            is_known = link is not None and link.is_inventoried
+            is_known = link is not None and link.has_reported
             if not (is_known or task.place in self._gone):
                 return False
             if self._is_journal_exact:
