--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -197,7 +197,7 @@
             # and its ends are numbered anew. What it lists it was given since.
             listed = report.runs + report.ends
             names = {(one.key, one.attempt) for one in listed}
-            self._listener.note_rebirth(self, report.born, names)
+            self._listener.note_restart(self, report.born, names)
         self.born = report.born
         self._note_word()
         self._listener.note_report(self, report, asked_at)
@@ -238,7 +238,7 @@
             self._listener.note_fenced(self)
         elif status == _OTHER_LIFE:
             # Another worker answers at its address: this life is over.
-            self._listener.note_rebirth(self, None)
+            self._listener.note_restart(self, None)
             self._note_silence()
             return
         else:
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -107,7 +107,7 @@
         self._owner.standing.doubt()
         self._owner.host.look_at_owner(self._owner)
 
-    def note_rebirth(self, link, born, listed=frozenset()):
+    def note_restart(self, link, born, listed=frozenset()):
         """Take note that what ran on a worker is gone, and of its new life.
 
         Parameters
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -61,7 +61,7 @@
     def note_silence(self, link):
         self.events.append("silence")
 
-    def note_rebirth(self, link, born, listed=frozenset()):
+    def note_restart(self, link, born, listed=frozenset()):
         link.begin_life(born)
         self.events.append("rebirth")
 
@@ -284,7 +284,7 @@
     owner.rooms.get("w2").is_open = False
     link = owner.links_by_worker["w1"]
     now = host.clock.monotonic()
-    owner.lists.note_rebirth(link, 2)
+    owner.lists.note_restart(link, 2)
     other = TaskKey("0" * 16, 0, 0, 0)
     ends = [EndReport(number, other, 1, "done") for number in range(1, 58)]
     owner.lists.note_report(link, WorkerReport(50.0, 1, [], ends), now)
--- a/tests/pool/test_owner.py
+++ b/tests/pool/test_owner.py
@@ -342,7 +342,7 @@
     link = owner.links_by_worker[start.run.worker]
     link._worker_clock = 50.0
     link.client = client = Starting()
-    owner.lists.note_rebirth(link, 2)
+    owner.lists.note_restart(link, 2)
     (second,) = place(owner)
     assert second.attempt == 2
     owner.orders._start(link, start)
