--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -138,7 +138,7 @@
             self.acknowledged = max(self.acknowledged, number)
             self._acknowledgement.set()
 
-    def begin_life(self, born):
+    def begin_incarnation(self, born):
         """Count the ends of a new life; the caller holds the owner's lock."""
         self.born = born
         self.acknowledged = self.processed = 0
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -120,7 +120,7 @@
         """
         with self._owner.lock:
             self._lose(link, "began anew", lambda run: run.name not in listed)
-            link.begin_life(born)
+            link.begin_incarnation(born)
             if not link.has_reported:
                 self._owner.settling.note_gone(link.worker, self._owner.now())
         self._owner.wake()
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -62,7 +62,7 @@
         self.events.append("silence")
 
     def note_restart(self, link, born, listed=frozenset()):
-        link.begin_life(born)
+        link.begin_incarnation(born)
         self.events.append("rebirth")
 
     def note_fenced(self, link):
@@ -202,10 +202,10 @@
     clock = ManualClock()
     registration = Registration("w1", "pool", "a:1", "z", Amounts(4000, 4096))
     link = WorkerLink(registration, Client(clock), 1, clock, Listener())
-    link.begin_life(1)
+    link.begin_incarnation(1)
     link.processed = 57
     number, born = link.processed, link.born
-    link.begin_life(2)
+    link.begin_incarnation(2)
     link.acknowledge(number, born)
     assert (link.processed, link.acknowledged) == (0, 0)
     link.acknowledge(3, 2)
