--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -163,7 +163,7 @@
                 RENEWALS.labels("refused").inc()
                 self._note_refusal(error)
 
-    def look_again(self):
+    def refresh(self):
         """Read both lists now, beside the call that waits for an end."""
         asked_at = self._clock.monotonic()
         try:
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -264,7 +264,7 @@
         if run.phase == RunPhase.STOPPING and not run.was_seen:
             # It may never have started; then no end is listed for it, and only a
             # list asked for from now on shows that its room is free.
-            link.look_again()
+            link.refresh()
 
     @_logged
     def _pace(self, link, run, percent):
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -150,7 +150,7 @@
     _run(link, 1)
     link.processed = link.acknowledged = 57
     link.client.calls_left = 1
-    link.look_again()
+    link.refresh()
     assert link.client.acknowledged[-1] == 0
 
 
