--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -65,7 +65,7 @@
 
     def _give_up(self, link):
         if link.has_reported:
-            self._owner.lists.lose_seen_runs(link)
+            self._owner.lists.mark_started_runs_lost(link)
         else:
             self._owner.settling.note_gone(link.worker, self._owner.now())
 
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -222,7 +222,7 @@
             room.release(run)
             self._owner.book.drop(run, now)
 
-    def lose_seen_runs(self, link):
+    def mark_started_runs_lost(self, link):
         """Give up what had begun on a worker whose life is over.
 
         An order without an answer may still be carried out, by the next life under the
