--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -83,7 +83,7 @@
     def _tick_link(self, link, now):
         owner = self._owner
         if link.is_silent and now > max(link.lapse_at, self._lapse_floor(link)):
-            owner.lists.lose_runs(link, "lease over")
+            owner.lists.mark_runs_lost(link, "lease over")
             if not link.is_listed and owner.settling.is_settled:
                 owner.sources.drop_link(link)
             return
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -230,7 +230,7 @@
         """
         self._lose(link, "no such worker", lambda run: run.has_begun)
 
-    def lose_runs(self, link, reason):
+    def mark_runs_lost(self, link, reason):
         """Take note that no run on a worker can be at work any more."""
         self._lose(link, reason, lambda run: True)
 
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -173,7 +173,7 @@
         for run in runs:
             owner.rooms.get("w0").reserve(run)
             owner.orders.stop_once(run, owner.now())
-        owner.lists.lose_runs(owner.links_by_worker["w0"], "lease over")
+        owner.lists.mark_runs_lost(owner.links_by_worker["w0"], "lease over")
     client = pool.clients["w0"]
     pool.let_go()
     assert not wait_until(lambda: client.stops > len(runs) / 2, NEVER_SECONDS)
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -120,7 +120,7 @@
         owner = load.owner
         with owner.lock:
             link = owner.links_by_worker[old]
-            owner.lists.lose_runs(link, "upkeep")
+            owner.lists.mark_runs_lost(link, "upkeep")
             owner.sources.drop_link(link)
             del load.workers[old], load._looked_at[old]
             new = old + "b"
