--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -107,7 +107,7 @@
         """Return whether its last call had no answer."""
         return self.failed_since is not None
 
-    def lease_end(self):
+    def grant_lease(self):
         """Return the end of a lease given now, on the worker's clock, or None.
 
         None where its clock was not read yet. The end is kept in mind: until it
@@ -185,7 +185,7 @@
         # A call that gets no answer may still renew the lease. While the worker is
         # silent it is only looked at: else its lease would never count as over, and
         # what ran on a worker that is gone would never be placed again.
-        lease_end = None if self.is_silent else self.lease_end()
+        lease_end = None if self.is_silent else self.grant_lease()
         report = self.client.renew(self._epoch, acknowledged, lease_end, wait)
         RENEWALS.labels("answered").inc()
         if self.is_stopped:
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -209,7 +209,7 @@
             may_send = is_wanted and owner.may_act()
             # The record took longer than the ticket lasts.
             may_send = may_send and owner.now() < start.usable_until
-            lease_end = link.lease_end() if may_send else None
+            lease_end = link.grant_lease() if may_send else None
             if lease_end is not None:
                 run.note_sent(owner.now())
         if lease_end is None:
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -161,7 +161,7 @@
 
 def test_lapse_covers_a_worker_whose_clock_is_slow(clock, link):
     _run(link, 1)
-    end = link.lease_end()
+    end = link.grant_lease()
     read_at = clock.monotonic()
     # At 98% of real time the worker's clock reaches the end only then.
     reached = read_at + (end - (1000 + read_at)) / 0.98
