--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -155,7 +155,7 @@
                 self._pause(_RETRY_SECONDS)
                 continue
             try:
-                self._ask()
+                self._poll()
             except WorkerSilent:
                 RENEWALS.labels("no-answer").inc()
                 self._note_silence()
@@ -174,7 +174,7 @@
         if not self.is_stopped and report.born == self.born:
             self._listener.note_report(self, report, asked_at)
 
-    def _ask(self):
+    def _poll(self):
         wait = self._wait_seconds()
         # A worker that is silent may be in its next life, whose ends are numbered anew:
         # it would forget ends that were never read. In the same life it is told again
--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -452,7 +452,7 @@
     def _ask(self, link):
         """Let a link ask once; return the seconds until it asks again."""
         try:
-            link._ask()
+            link._poll()
         except WorkerSilent:
             link._note_silence()
             return self.rng.choice([0.4, 1.0])
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -256,13 +256,13 @@
     link = owner.links_by_worker["w1"]
     link.client = worker = LateWorker(host.clock)
     owner.rooms.get("w2").is_open = False
-    link._ask()
+    link._poll()
     link.processed = link.acknowledged = 57
     worker.is_late = True
     with pytest.raises(WorkerSilent):
-        link._ask()
+        link._poll()
     worker.begin_again()
-    link._ask()
+    link._poll()
     with owner.lock:
         owner.decisions.place(host.clock.monotonic())
     (start,) = owner.decisions.take_unsent()
@@ -270,7 +270,7 @@
     worker.ends = [EndReport(1, KEY, 1, "failed")]
     worker.carry_out_late()
     host.clock.advance(0.1)
-    link._ask()
+    link._poll()
     assert waiting_tasks(owner) == 1
 
 
@@ -315,7 +315,7 @@
     host, owner = owner_with(job())
     link = owner.links_by_worker["w1"]
     link.client = worker = LateWorker(host.clock)
-    link._ask()
+    link._poll()
     owner.rooms.get("w2").is_open = False
     (run,) = place(owner)
     owner.rooms.get("w2").is_open = True
@@ -326,6 +326,6 @@
         worker.runs = [RunReport(*run.name)]
     owner._wakeup = decider = PlacingAtOnce(owner)
     link._clock = host.clock = _NoWait(host.clock.monotonic())
-    link._ask()
+    link._poll()
     assert decider.placed == []
     assert owner.book.step_of(KEY).tasks[0].is_done == has_ended
