--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -209,7 +209,7 @@
             return 0.0
         if self.processed > self.acknowledged:
             return 0.0
-        if self._listener.is_paced(self):
+        if self._listener.needs_pacing(self):
             return _WAIT_PACED_SECONDS
         if self._listener.is_doubtful(self):
             return _WAIT_DOUBTFUL_SECONDS
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -36,7 +36,7 @@
         """Return whether leases may be renewed."""
         return self._owner.may_act()
 
-    def is_paced(self, link):
+    def needs_pacing(self, link):
         """Return whether a worker has tasks that others beside them may disturb."""
         room = self._owner.rooms.get(link.worker)
         return room is not None and room.filler_processors and room.serving
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -52,7 +52,7 @@
     def is_doubtful(self, link):
         return False
 
-    def is_paced(self, link):
+    def needs_pacing(self, link):
         return False
 
     def note_report(self, link, report, asked_at):
