--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -211,7 +211,7 @@
             return 0.0
         if self._listener.needs_pacing(self):
             return _WAIT_PACED_SECONDS
-        if self._listener.is_doubtful(self):
+        if self._listener.may_have_stalled_run(self):
             return _WAIT_DOUBTFUL_SECONDS
         return _WAIT_SECONDS
 
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -49,7 +49,7 @@
     def may_act(self):
         return True
 
-    def is_doubtful(self, link):
+    def may_have_stalled_run(self, link):
         return False
 
     def needs_pacing(self, link):
