--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -41,7 +41,7 @@
         room = self._owner.rooms.get(link.worker)
         return room is not None and room.filler_processors and room.serving
 
-    def is_doubtful(self, link):
+    def may_have_stalled_run(self, link):
         """Return whether a run of a worker seems to stand still."""
         with self._owner.lock:
             room = self._owner.rooms.get(link.worker)
