--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -81,7 +81,7 @@
     def tell(self, owner):
         """Tell all hosts what has changed in an owner's pool."""
         self._note_backlogs(owner)
-        news = owner.news.take()
+        news = owner.news.take_changes()
         if not news:
             return
         self._host.board.note(news)
--- a/papayapick/pool/status_feed.py
+++ b/papayapick/pool/status_feed.py
@@ -36,7 +36,7 @@
         """
         return self._known_at
 
-    def take(self):
+    def take_changes(self):
         """Return what callers may be told now, by job.
 
         Returns
--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -151,7 +151,9 @@
         self.pool = pool
         self.row = SimpleNamespace(epoch=1)
         self.news = SimpleNamespace(
-            all_states=dict, take=lambda: {pool + "-job": "running"}, backlogs=dict
+            all_states=dict,
+            take_changes=lambda: {pool + "-job": "running"},
+            backlogs=dict,
         )
 
 
