--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -42,10 +42,10 @@
         while not self._owner.is_stopped:
             self._owner.pause(_LOOK_SECONDS)
             if self._silent_links() and self._owner.may_act():
-                self.look()
+                self.check_once()
                 self._owner.pause(_READ_SECONDS)
 
-    def look(self):
+    def check_once(self):
         """Read the list once, and take in what it tells of silent workers."""
         silent = self._silent_links()
         try:
