--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -55,7 +55,7 @@
 
 
 def look(load, machines):
-    LivenessCheck(load.owner, machines).look()
+    LivenessCheck(load.owner, machines).check_once()
     (job,) = load.owner.book.jobs()
     return len(job.occurrences[0][0].waiting)
 
@@ -123,7 +123,7 @@
 ):
     """Guards against a standstill after each takeover beside one crashed worker."""
     owner = _taken_over(recorded_at, is_journal_exact)
-    LivenessCheck(owner, Machines("w1", "")).look()
+    LivenessCheck(owner, Machines("w1", "")).check_once()
     assert [run.worker for run in place(owner)] == ["w1"]
     assert owner.settling.is_settled
 
@@ -131,7 +131,7 @@
 def test_new_owner_waits_for_a_worker_that_is_cut_off():
     """Guards against a second run of what goes on behind a cut."""
     owner = _taken_over("w2", is_journal_exact=False)
-    LivenessCheck(owner, Machines("w1", "w2")).look()
+    LivenessCheck(owner, Machines("w1", "w2")).check_once()
     assert place(owner) == []
     assert not owner.settling.is_settled
 
@@ -141,7 +141,7 @@
     owner = _taken_over("w2", is_journal_exact=False)
     check = LivenessCheck(owner, Machines("w1", ""))
     assert check._silent_links()
-    check.look()
+    check.check_once()
     assert not check._silent_links()
 
 
@@ -155,5 +155,5 @@
     assert not check._silent_links()
     host.clock.advance(0.3)
     assert [link.worker for link in check._silent_links()] == ["w2"]
-    check.look()
+    check.check_once()
     assert [run.worker for run in place(owner)] == ["w1"]
