--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -8,7 +8,7 @@
 import time
 
 from benchmarks.tables import print_rows
-from tests.pool.standins import Replay
+from tests.pool.standins import PoolSimulation
 
 SIZES = (24, 176)
 ROUNDS = 3
@@ -28,7 +28,7 @@
 
 
 def replay(workers):
-    load = Replay(workers=workers, length=0.8)
+    load = PoolSimulation(workers=workers, length=0.8)
     began = time.process_time()
     for _ in range(STEPS):
         load.hand_in(tasks=10)
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -11,7 +11,7 @@
 
 from benchmarks.tables import print_rows
 from papayapick.jobs import AdvicePolicy, Queue
-from tests.pool.standins import Replay
+from tests.pool.standins import PoolSimulation
 
 SIZES = ((25, 100), (176, 300), (176, 1500), (176, 3000))
 ROUNDS = 5
@@ -27,7 +27,7 @@
 
 
 def measure(workers, steps):
-    load = Replay(workers=workers, length=1.0)
+    load = PoolSimulation(workers=workers, length=1.0)
     owner = load.owner
     owner.host.queue_of = lambda document: QUEUE
     owner.advising._book._ask = lambda key, names, expected: None
--- a/benchmarks/timeliness.py
+++ b/benchmarks/timeliness.py
@@ -10,7 +10,7 @@
 
 from benchmarks.tables import print_rows
 from papayapick.placement.steps import order_steps
-from tests.pool.standins import QUEUE, Replay
+from tests.pool.standins import QUEUE, PoolSimulation
 
 WORKERS = 24
 TASKS = 10
@@ -40,7 +40,7 @@
 
 
 def measure(share):
-    load = Replay(workers=WORKERS, length=SECONDS)
+    load = PoolSimulation(workers=WORKERS, length=SECONDS)
     owed = 0.0
     for _ in range(round(LOAD_SECONDS / TICK_SECONDS)):
         owed += share * CAPACITY * TICK_SECONDS
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -127,7 +127,7 @@
         return WorkerReport(50.0, 1, runs, list(self.ends))
 
 
-class Replay:
+class PoolSimulation:
     """Hand jobs to an owner whose workers are simulated, without threads.
 
     Parameters
--- a/tests/pool/test_laggards.py
+++ b/tests/pool/test_laggards.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.pool.standins import Replay
+from tests.pool.standins import PoolSimulation
 
 LENGTH = 0.8
 # What callers of the quick queue are promised: one and a half times the work, and half
@@ -12,7 +12,7 @@
 
 def replay(sicken):
     """Hand in four jobs of six tasks a second, with a sick worker from 1.5 s on."""
-    load = Replay(workers=8, length=LENGTH)
+    load = PoolSimulation(workers=8, length=LENGTH)
     for number in range(32):
         if number == 6:
             sicken(load.workers["w0"])
@@ -66,7 +66,7 @@
 def test_task_that_is_longer_than_its_like_is_left_alone():
     # One task in ten is three times as long as the others. Taken for one on a slow
     # worker, it was stopped and began anew elsewhere, and its count was late.
-    load = Replay(workers=8, length=LENGTH, long_share=0.1)
+    load = PoolSimulation(workers=8, length=LENGTH, long_share=0.1)
     for _ in range(24):
         load.hand_in(tasks=6)
         load.run(0.25)
@@ -78,7 +78,7 @@
 def test_task_of_many_minutes_is_moved_twice_at_most():
     # A report works for an hour: a percent takes half a minute, and it seems to stand
     # still wherever it runs. Moved for ever it would never be done.
-    load = Replay(workers=4, length=3600.0)
+    load = PoolSimulation(workers=4, length=3600.0)
     load.hand_in(tasks=1)
     load.run(20.0)
     assert load.stops == 2
--- a/tests/pool/test_large_tasks.py
+++ b/tests/pool/test_large_tasks.py
@@ -4,7 +4,7 @@
 
 from papayapick.jobs import JobStatus, Queue, Step
 from papayapick.ledger import Amounts
-from tests.pool.standins import LONG_FACTOR, Replay
+from tests.pool.standins import LONG_FACTOR, PoolSimulation
 
 SECONDS = 2.0
 URGENT = Queue("u", "h", "/u/", "pool", 1, 4, 2.2, 1.2, 3.0, False, None)
@@ -44,7 +44,7 @@
 
 def test_room_made_for_a_large_task_is_not_taken_back_by_what_was_stopped():
     """Guards against an endless round: what was stopped is placed there again."""
-    load = Replay(workers=2, length=SECONDS, accelerators=8)
+    load = PoolSimulation(workers=2, length=SECONDS, accelerators=8)
     load.hand_in_step(_small(16, has_checkpoints=True), PATIENT)
     load.run(0.5)
     identifier = load.hand_in_step(_whole(), URGENT)
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("queue", [URGENT, PATIENT])
 def test_large_task_has_its_turn_while_small_ones_come_all_the_time(queue):
     """Guards against a whole worker that never comes free, a small task at a time."""
-    load = Replay(workers=2, length=SECONDS, long_share=0.3, accelerators=8)
+    load = PoolSimulation(workers=2, length=SECONDS, long_share=0.3, accelerators=8)
     _stagger(load, queue)
     identifier = load.hand_in_step(_whole(), queue)
     waited = _load_until(load, identifier, 20.0, lambda: _small(1), queue)
@@ -67,7 +67,7 @@
 
 def test_gang_of_large_tasks_has_its_turn():
     """Guards against members that never find room at the same moment."""
-    load = Replay(workers=3, length=SECONDS, long_share=0.3, accelerators=8)
+    load = PoolSimulation(workers=3, length=SECONDS, long_share=0.3, accelerators=8)
     _stagger(load, PATIENT)
     identifier = load.hand_in_step(_whole(2, is_gang=True), URGENT)
     waited = _load_until(load, identifier, 20.0, lambda: _small(2), PATIENT)
@@ -76,7 +76,7 @@
 
 def test_gang_takes_the_place_of_patient_tasks_that_save_their_progress():
     """Guards against a gang that waits for the ends of tasks that could be stopped."""
-    load = Replay(workers=2, length=10 * SECONDS, accelerators=8)
+    load = PoolSimulation(workers=2, length=10 * SECONDS, accelerators=8)
     load.hand_in_step(_small(16, has_checkpoints=True), PATIENT)
     load.run(0.5)
     identifier = load.hand_in_step(_whole(2, is_gang=True), URGENT)
@@ -86,7 +86,7 @@
 
 def test_small_task_uses_held_room_until_it_is_needed():
     """Guards against workers that stand idle while room is held on them."""
-    load = Replay(workers=1, length=SECONDS, accelerators=8)
+    load = PoolSimulation(workers=1, length=SECONDS, accelerators=8)
     load.hand_in_step(Step(4, Amounts(100, 10, 1), 4 * SECONDS), URGENT)
     load.run(0.5)
     load.hand_in_step(_whole(), URGENT)
@@ -101,7 +101,7 @@
 
 def test_task_goes_back_where_it_failed_while_others_fill_the_rest():
     """Guards against a job with nothing running beside a worker that is free."""
-    load = Replay(workers=2, length=SECONDS, accelerators=8)
+    load = PoolSimulation(workers=2, length=SECONDS, accelerators=8)
     other = load.hand_in_step(_whole(2), URGENT)
     load.run(0.5)
     load.workers["w1"].speed = 0.2
@@ -117,7 +117,7 @@
 
 def test_member_of_a_gang_that_failed_somewhere_has_its_choice_first():
     """Guards against a gang that waits because another member took the only place."""
-    load = Replay(workers=2, length=SECONDS, accelerators=8)
+    load = PoolSimulation(workers=2, length=SECONDS, accelerators=8)
     with load.owner.lock:
         load.hand_in_step(_whole(2, is_gang=True), URGENT)
         (step,) = load.owner.book.waiting_steps()
@@ -128,7 +128,7 @@
 
 def test_hold_is_over_once_its_step_was_placed():
     """Guards against a step that goes before its equals for good, once it was held."""
-    load = Replay(workers=1, length=SECONDS, accelerators=8)
+    load = PoolSimulation(workers=1, length=SECONDS, accelerators=8)
     load.hand_in_step(_small(8), URGENT)
     load.run(0.5)
     load.hand_in_step(_whole(), URGENT)
--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -15,7 +15,7 @@
     started_record,
     store_job,
 )
-from tests.pool.standins import Replay
+from tests.pool.standins import PoolSimulation
 
 
 class Machines:
@@ -37,7 +37,7 @@
 @pytest.fixture
 def load():
     """Two workers; four tasks run on one of them, which then falls silent."""
-    load = Replay(workers=2, length=60.0)
+    load = PoolSimulation(workers=2, length=60.0)
     load.hand_in(tasks=4)
     load.run(1.0)
     (worker,) = {run.worker for run in runs(load)}
--- a/tests/pool/test_news.py
+++ b/tests/pool/test_news.py
@@ -3,14 +3,14 @@
 import pytest
 
 from papayapick.jobs.state import JobStatus
-from tests.pool.standins import Replay
+from tests.pool.standins import PoolSimulation
 
 SECONDS = 0.8
 
 
 @pytest.fixture
 def load():
-    load = Replay(workers=1, length=SECONDS)
+    load = PoolSimulation(workers=1, length=SECONDS)
     load.hand_in(tasks=1)
     return load
 
--- a/tests/pool/test_overload.py
+++ b/tests/pool/test_overload.py
@@ -5,7 +5,7 @@
 from papayapick.jobs import AdvicePolicy, JobDocument, JobStatus, Queue, Step
 from papayapick.ledger import Amounts
 from papayapick.placement.timeliness import Timeliness, latest_start
-from tests.pool.standins import QUEUE, Replay
+from tests.pool.standins import QUEUE, PoolSimulation
 
 SECONDS = 0.8
 OBJECTIVE = QUEUE.stretch * SECONDS + QUEUE.objective_seconds
@@ -20,7 +20,7 @@
     Served in the order of arrival each waited as long as the backlog was old, and
     four fifths came too late. Those that can still be done in time go first.
     """
-    load = Replay(workers=8, length=SECONDS)
+    load = PoolSimulation(workers=8, length=SECONDS)
     for number in range(100):
         # 32 tasks at a time, 40 tasks a second; 56 a second come.
         load.hand_in(tasks=6 if number % 5 else 4, estimate=SECONDS)
@@ -43,7 +43,7 @@
     ],
 )
 def test_work_is_overdue_once_it_can_be_of_no_use(waited, kind):
-    load = Replay(workers=1, length=SECONDS)
+    load = PoolSimulation(workers=1, length=SECONDS)
     load.hand_in(tasks=1, estimate=SECONDS)
     (step,) = load.owner.book.waiting_steps()
     found, _ = latest_start(step, load.now + waited)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("kind", ["lasting", "timed"])
 def test_work_without_an_end_or_with_a_due_time_is_never_overdue(kind):
-    load = Replay(workers=1, length=SECONDS)
+    load = PoolSimulation(workers=1, length=SECONDS)
     step = Step(1, Amounts(1000, 10), 1.0, is_lasting=kind == "lasting")
     times = 2 if kind == "timed" else 0
     document = JobDocument("a" * 16, "q", "pool", "t", [step], 0.0, times, 1e12, 1.0)
@@ -69,7 +69,7 @@
     their time with the advice service on steps that found no room before the answer
     had aged, and urgent steps waited for seconds behind those calls.
     """
-    load = Replay(workers=40, length=SECONDS)
+    load = PoolSimulation(workers=40, length=SECONDS)
     owner = load.owner
     asked = []
     owner.advising._book._ask = lambda key, workers, expected: asked.append(key.job)
@@ -84,7 +84,7 @@
 
 
 def test_advice_is_asked_at_once_while_there_is_room():
-    load = Replay(workers=4, length=SECONDS)
+    load = PoolSimulation(workers=4, length=SECONDS)
     load.owner.decisions.place(load.now)
     assert not load.owner.advising.is_short
 
@@ -95,7 +95,7 @@
     Their tickets had aged. They were not asked about again, and still took up all the
     room that advice is asked for: steps behind them waited beside empty workers.
     """
-    load = Replay(workers=8, length=SECONDS)
+    load = PoolSimulation(workers=8, length=SECONDS)
     owner = load.owner
     asked = []
     owner.advising._book._ask = lambda key, workers, expected: asked.append(key.job)
@@ -115,7 +115,7 @@
 
 
 def test_queue_is_closed_by_the_rate_at_which_its_jobs_begin():
-    load = Replay(workers=1, length=SECONDS)
+    load = PoolSimulation(workers=1, length=SECONDS)
     for _ in range(400):
         load.hand_in(tasks=4, estimate=SECONDS)
     assert load.owner.news.backlogs()["q"].retry_after == 0
@@ -128,7 +128,7 @@
 
 def test_round_does_not_look_at_each_worker_for_steps_that_fit_nowhere():
     """Guards against rounds that take the whole processor while hundreds wait."""
-    load = Replay(workers=40, length=SECONDS)
+    load = PoolSimulation(workers=40, length=SECONDS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
     owner.advising._book._ask = lambda key, workers, expected: None
@@ -148,7 +148,7 @@
 
 def test_round_does_not_look_at_each_worker_for_steps_whose_tickets_are_for_full_ones():
     """Guards against the same while a worker is free that hardly any step may use."""
-    load = Replay(workers=40, length=SECONDS)
+    load = PoolSimulation(workers=40, length=SECONDS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
     owner.advising._book._ask = lambda key, workers, expected: None
@@ -193,7 +193,7 @@
 
 def test_lasting_task_that_is_down_is_started_before_urgent_work():
     """Guards against a watcher that stays away for as long as an overload lasts."""
-    load = Replay(workers=2, length=SECONDS)
+    load = PoolSimulation(workers=2, length=SECONDS)
     patient = Queue("w", "h", "/w/", "pool", 1, 2, 2.2, 3.0, 3.0, False, None)
     load.hand_in(tasks=8, estimate=SECONDS)
     watcher = load.hand_in_step(Step(1, Amounts(1000, 10), is_lasting=True), patient)
@@ -205,7 +205,7 @@
 
 def test_urgent_queue_turns_away_what_would_be_of_no_use():
     """Guards against thousands of jobs that are accepted and come to nothing."""
-    load = Replay(workers=8, length=SECONDS)
+    load = PoolSimulation(workers=8, length=SECONDS)
     owner = load.owner
     refused = 0
     for _ in range(80):
--- a/tests/pool/test_preemption.py
+++ b/tests/pool/test_preemption.py
@@ -4,7 +4,7 @@
 
 from papayapick.jobs import AdvicePolicy, JobStatus, Queue, Step
 from papayapick.ledger import Amounts
-from tests.pool.standins import QUEUE, Replay
+from tests.pool.standins import QUEUE, PoolSimulation
 
 SECONDS = 100.0
 PATIENT = Queue("w", "h", "/w/", "pool", 2, 2, 2.2, 3.0, 3.0, False, None)
@@ -53,7 +53,7 @@
 
 def _full_pool(patient_tasks):
     """Return a load whose workers are full, with some patient tasks among them."""
-    load = Replay(workers=WORKERS, length=SECONDS)
+    load = PoolSimulation(workers=WORKERS, length=SECONDS)
     if patient_tasks:
         step = Step(patient_tasks, Amounts(1000, 10), SECONDS, has_checkpoints=True)
         load.hand_in_step(step, PATIENT)
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -12,7 +12,7 @@
 from papayapick.platform.exceptions import CheckFailed
 from papayapick.platform.machines import Machine, UpkeepOutcome
 from papayapick.pool.upkeep import WAVES_TABLE, UpkeepCoordinator
-from tests.pool.standins import QUEUE, Replay, Worker, _registration
+from tests.pool.standins import QUEUE, PoolSimulation, Worker, _registration
 
 UPKEEP_SECONDS = 2.0
 KEY = "wave/7"
@@ -135,7 +135,7 @@
     """A pool under load whose machines have a wave."""
 
     def __init__(self, workers=6, length=0.8, at_once=2, seconds=60.0):
-        self.load = load = Replay(workers=workers, length=length)
+        self.load = load = PoolSimulation(workers=workers, length=length)
         self.machines = Machines(load)
         self.rows = load.host.store = Rows()
         names = [f"m-{name}" for name in load.workers]
--- a/tests/pool/test_waits.py
+++ b/tests/pool/test_waits.py
@@ -8,7 +8,7 @@
 from papayapick.pool import decisions
 from papayapick.pool.decisions import WaitReason
 from papayapick.pool.retention import delete_expired_jobs
-from tests.pool.standins import Replay
+from tests.pool.standins import PoolSimulation
 
 ADVISED = Queue(
     "q", "h", "/q/", "pool", 0, 2, 1.5, 0.5, 3.0, False, AdvicePolicy(0.8, 0, 2.5)
@@ -33,7 +33,7 @@
 
 
 def load_of(workers=1):
-    load = Replay(workers=workers, length=0.8)
+    load = PoolSimulation(workers=workers, length=0.8)
     load.owner.advising._book._ask = lambda key, workers, expected: None
     return load
 
