--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -19,7 +19,7 @@
 from papayapick.pool.journal import JOBS_TABLE, PROGRESS_TABLE
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.partitions import job_partition
-from tests.pool.standins import Host, NoThreads
+from tests.pool.standins import Host, ManualExecutor
 from tests.standins.cluster import Cluster
 
 SIZES = (100, 1_000, 10_000)
@@ -76,8 +76,8 @@
     owner._executor.shutdown()
     owner._order_executor.shutdown()
     owner._stop_executor.shutdown()
-    owner._executor, owner.orders._executor = NoThreads(), NoThreads()
-    owner.orders._stop_executor = NoThreads()
+    owner._executor, owner.orders._executor = ManualExecutor(), ManualExecutor()
+    owner.orders._stop_executor = ManualExecutor()
     owner.sources.load()
     loaded = time.monotonic()
     owner.tick(owner.now())
--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -17,7 +17,7 @@
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.reports import EndReport, RunReport, StartOutcome, WorkerReport
 from tests.pool.owners import register
-from tests.pool.standins import Host, NoThreads
+from tests.pool.standins import Host, ManualExecutor
 
 __all__ = ["Day"]
 
@@ -424,8 +424,11 @@
             owner._stop_executor,
         ):
             executor.shutdown()
-        owner._executor = NoThreads()
-        owner.orders._executor, owner.orders._stop_executor = NoThreads(), NoThreads()
+        owner._executor = ManualExecutor()
+        owner.orders._executor, owner.orders._stop_executor = (
+            ManualExecutor(),
+            ManualExecutor(),
+        )
         owner.sources.load()
         for name, link in owner.links_by_worker.items():
             link.client = LateClient(self, self._workers[name])
--- a/tests/pool/owners.py
+++ b/tests/pool/owners.py
@@ -6,7 +6,7 @@
 from papayapick.pool.journal import JOBS_TABLE, PROGRESS_TABLE
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.reports import EndReport, RunReport, WorkerReport
-from tests.pool.standins import Host, NoThreads
+from tests.pool.standins import Host, ManualExecutor
 
 ID = "5c0e7a21d94b36f8"
 KEY = TaskKey(ID, 0, 0, 0)
@@ -38,8 +38,8 @@
     owner._executor.shutdown()
     owner._order_executor.shutdown()
     owner._stop_executor.shutdown()
-    owner._executor, owner.orders._executor = NoThreads(), NoThreads()
-    owner.orders._stop_executor = NoThreads()
+    owner._executor, owner.orders._executor = ManualExecutor(), ManualExecutor()
+    owner.orders._stop_executor = ManualExecutor()
     owner.sources.load()
     return owner
 
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -15,7 +15,7 @@
 QUEUE = Queue("q", "h", "/q/", "pool", 0, 2, 1.5, 0.5, 3.0, False, None)
 
 
-class NoThreads:
+class ManualExecutor:
     """Run nothing; what was asked for is kept."""
 
     def __init__(self):
@@ -42,7 +42,7 @@
         self.worker_pool = None
         self.peers = self
         self.stopping = threading.Event()
-        self.executor = NoThreads()
+        self.executor = ManualExecutor()
         self.rows = {}
         self.lost_since = None
         self.live_peers = []
@@ -157,8 +157,11 @@
         self.owner._executor.shutdown()
         self.owner._order_executor.shutdown()
         self.owner._stop_executor.shutdown()
-        self.owner._executor, self.owner.orders._executor = NoThreads(), NoThreads()
-        self.owner.orders._stop_executor = NoThreads()
+        self.owner._executor, self.owner.orders._executor = (
+            ManualExecutor(),
+            ManualExecutor(),
+        )
+        self.owner.orders._stop_executor = ManualExecutor()
         self.owner.sources.load()
         self._looked_at = dict.fromkeys(self.workers, 0.0)
         self.handed_in = {}
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -13,7 +13,7 @@
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.reports import StartOutcome
 from tests.pool.owners import register, report
-from tests.pool.standins import QUEUE, Host, NoThreads
+from tests.pool.standins import QUEUE, Host, ManualExecutor
 
 PATIENT = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
 # Every order is sent within this on any machine that runs the tests.
@@ -55,7 +55,7 @@
             register(self.host, f"w{number}")
         self.owner = PoolOwner(self.host, PoolRow("pool", "h1", 3, "a:1", 9), True)
         self.owner._executor.shutdown()
-        self.owner._executor = NoThreads()
+        self.owner._executor = ManualExecutor()
         self.owner.sources.load()
         self.clients = {}
         for worker, link in self.owner.links_by_worker.items():
