--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -31,8 +31,8 @@
     load = PoolSimulation(workers=workers, length=0.8)
     began = time.process_time()
     for _ in range(STEPS):
-        load.hand_in(tasks=10)
-        load.hand_in(tasks=10)
+        load.submit_job(tasks=10)
+        load.submit_job(tasks=10)
         load.run(0.05)
     return time.process_time() - began
 
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -32,7 +32,7 @@
     owner.host.queue_of = lambda document: QUEUE
     owner.advising._book._ask = lambda key, names, expected: None
     for _ in range(steps):
-        load.hand_in(tasks=TASKS, estimate=1.0, queue=QUEUE)
+        load.submit_job(tasks=TASKS, estimate=1.0, queue=QUEUE)
     names = list(load.workers)
     for number, step in enumerate(owner.book.waiting_steps()):
         if number % 2:
--- a/benchmarks/timeliness.py
+++ b/benchmarks/timeliness.py
@@ -45,11 +45,11 @@
     for _ in range(round(LOAD_SECONDS / TICK_SECONDS)):
         owed += share * CAPACITY * TICK_SECONDS
         while owed >= 1:
-            load.hand_in(TASKS, estimate=SECONDS)
+            load.submit_job(TASKS, estimate=SECONDS)
             owed -= 1
         load.run(TICK_SECONDS)
     load.run(LOAD_SECONDS * 2)
-    took = load.took()
+    took = load.job_durations()
     return {
         "in_time": sum(one <= OBJECTIVE for one in took) / len(took),
         "late": sum(OBJECTIVE < one <= 3 * OBJECTIVE for one in took) / len(took),
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -164,7 +164,7 @@
         self.owner.orders._stop_executor = ManualExecutor()
         self.owner.sources.load()
         self._looked_at = dict.fromkeys(self.workers, 0.0)
-        self.handed_in = {}
+        self.submitted_at = {}
         self.finished = {}
         self.stops = 0
         for worker in self.workers.values():
@@ -174,18 +174,18 @@
     def now(self):
         return self.host.clock.monotonic()
 
-    def hand_in(self, tasks, estimate=0.0, queue=QUEUE):
+    def submit_job(self, tasks, estimate=0.0, queue=QUEUE):
         """Hand in an urgent job of one step; return its id."""
         step = Step(tasks, Amounts(1000, 10), estimate)
-        return self.hand_in_step(step, queue)
+        return self.submit_step(step, queue)
 
-    def hand_in_step(self, step, queue=QUEUE):
+    def submit_step(self, step, queue=QUEUE):
         """Hand in a job of one step; return its id."""
-        identifier = f"{len(self.handed_in) + 1:016x}"
+        identifier = f"{len(self.submitted_at) + 1:016x}"
         document = JobDocument(identifier, "q", "pool", "t", [step], 0.0)
         with self.owner.lock:
             self.owner.book.add(document, queue, self.now)
-        self.handed_in[identifier] = self.now
+        self.submitted_at[identifier] = self.now
         return identifier
 
     def run(self, seconds):
@@ -199,11 +199,11 @@
                 self.owner.decisions.place(self.now)
             self._carry_out()
 
-    def took(self):
+    def job_durations(self):
         """Return the seconds that each job took, or has taken so far, ascending."""
         return sorted(
-            self.finished.get(identifier, self.now) - handed_in
-            for identifier, handed_in in self.handed_in.items()
+            self.finished.get(identifier, self.now) - submitted_at
+            for identifier, submitted_at in self.submitted_at.items()
         )
 
     def _work(self):
--- a/tests/pool/test_laggards.py
+++ b/tests/pool/test_laggards.py
@@ -16,14 +16,14 @@
     for number in range(32):
         if number == 6:
             sicken(load.workers["w0"])
-        load.hand_in(tasks=6)
+        load.submit_job(tasks=6)
         load.run(0.25)
     load.run(3.0)
     return load
 
 
 def late(load):
-    return sum(seconds > OBJECTIVE for seconds in load.took())
+    return sum(seconds > OBJECTIVE for seconds in load.job_durations())
 
 
 def stand_still(worker):
@@ -50,7 +50,7 @@
     # health is good. Each job with a task on it took as long as the worker was sick:
     # managers waited ten and five seconds for counts that take one.
     load = replay(sicken)
-    assert load.took()[-1] < 2 * OBJECTIVE
+    assert load.job_durations()[-1] < 2 * OBJECTIVE
     assert late(load) <= 3
 
 
@@ -68,18 +68,18 @@
     # worker, it was stopped and began anew elsewhere, and its count was late.
     load = PoolSimulation(workers=8, length=LENGTH, long_share=0.1)
     for _ in range(24):
-        load.hand_in(tasks=6)
+        load.submit_job(tasks=6)
         load.run(0.25)
     load.run(4.0)
     assert load.stops <= 1
-    assert load.took()[-1] < 3 * LENGTH + 0.5
+    assert load.job_durations()[-1] < 3 * LENGTH + 0.5
 
 
 def test_task_of_many_minutes_is_moved_twice_at_most():
     # A report works for an hour: a percent takes half a minute, and it seems to stand
     # still wherever it runs. Moved for ever it would never be done.
     load = PoolSimulation(workers=4, length=3600.0)
-    load.hand_in(tasks=1)
+    load.submit_job(tasks=1)
     load.run(20.0)
     assert load.stops == 2
     (job,) = load.owner.book.jobs()
--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -38,7 +38,7 @@
 def load():
     """Two workers; four tasks run on one of them, which then falls silent."""
     load = PoolSimulation(workers=2, length=60.0)
-    load.hand_in(tasks=4)
+    load.submit_job(tasks=4)
     load.run(1.0)
     (worker,) = {run.worker for run in runs(load)}
     link = load.owner.links_by_worker[worker]
--- a/tests/pool/test_news.py
+++ b/tests/pool/test_news.py
@@ -11,7 +11,7 @@
 @pytest.fixture
 def load():
     load = PoolSimulation(workers=1, length=SECONDS)
-    load.hand_in(tasks=1)
+    load.submit_job(tasks=1)
     return load
 
 
--- a/tests/pool/test_overload.py
+++ b/tests/pool/test_overload.py
@@ -23,11 +23,11 @@
     load = PoolSimulation(workers=8, length=SECONDS)
     for number in range(100):
         # 32 tasks at a time, 40 tasks a second; 56 a second come.
-        load.hand_in(tasks=6 if number % 5 else 4, estimate=SECONDS)
+        load.submit_job(tasks=6 if number % 5 else 4, estimate=SECONDS)
         if number % 2:
             load.run(0.2)
     load.run(20.0)
-    took = load.took()
+    took = load.job_durations()
     assert len(load.finished) == 100
     in_time = sum(one <= OBJECTIVE for one in took) / len(took)
     assert in_time > 0.6
@@ -44,7 +44,7 @@
 )
 def test_work_is_overdue_once_it_can_be_of_no_use(waited, kind):
     load = PoolSimulation(workers=1, length=SECONDS)
-    load.hand_in(tasks=1, estimate=SECONDS)
+    load.submit_job(tasks=1, estimate=SECONDS)
     (step,) = load.owner.book.waiting_steps()
     found, _ = latest_start(step, load.now + waited)
     assert found == kind
@@ -75,10 +75,10 @@
     owner.advising._book._ask = lambda key, workers, expected: asked.append(key.job)
     owner.host.queue_of = lambda document: ADVISED
     for _ in range(200):
-        load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
+        load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     # Room for 160 tasks, and for 5 that come free soon.
     owner.decisions.place(load.now)
-    assert asked == sorted(load.handed_in)[: len(asked)]
+    assert asked == sorted(load.submitted_at)[: len(asked)]
     assert len(asked) == 42
     assert owner.advising.is_short
 
@@ -100,7 +100,7 @@
     asked = []
     owner.advising._book._ask = lambda key, workers, expected: asked.append(key.job)
     for _ in range(20):
-        load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
+        load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     full, *others = load.workers
     for step in owner.book.waiting_steps():
         owner.advising.want(step, load.now)
@@ -108,7 +108,7 @@
         tickets = {full: "t"}
         owner.advising._book.note_answer(step.key, tickets, policy, load.now - 60)
     owner.rooms.get(full).processors = 0
-    load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
+    load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     asked.clear()
     owner.decisions.place(load.now)
     assert asked == [f"{21:016x}"]
@@ -117,7 +117,7 @@
 def test_queue_is_closed_by_the_rate_at_which_its_jobs_begin():
     load = PoolSimulation(workers=1, length=SECONDS)
     for _ in range(400):
-        load.hand_in(tasks=4, estimate=SECONDS)
+        load.submit_job(tasks=4, estimate=SECONDS)
     assert load.owner.news.backlogs()["q"].retry_after == 0
     load.run(10.0)
     # One job in 0.8 s begins: 387 or so wait for over five minutes.
@@ -133,7 +133,7 @@
     owner.host.queue_of = lambda document: ADVISED
     owner.advising._book._ask = lambda key, workers, expected: None
     for _ in range(400):
-        load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
+        load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     for step in owner.book.waiting_steps():
         owner.advising.ask(step, load.now)
         tickets = dict.fromkeys(load.workers, "t")
@@ -154,7 +154,7 @@
     owner.advising._book._ask = lambda key, workers, expected: None
     *others, free = load.workers
     for _ in range(400):
-        load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
+        load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     *steps, last = owner.book.waiting_steps()
     for step in steps:
         _advise(owner, step, others, load.now)
@@ -195,10 +195,10 @@
     """Guards against a watcher that stays away for as long as an overload lasts."""
     load = PoolSimulation(workers=2, length=SECONDS)
     patient = Queue("w", "h", "/w/", "pool", 1, 2, 2.2, 3.0, 3.0, False, None)
-    load.hand_in(tasks=8, estimate=SECONDS)
-    watcher = load.hand_in_step(Step(1, Amounts(1000, 10), is_lasting=True), patient)
+    load.submit_job(tasks=8, estimate=SECONDS)
+    watcher = load.submit_step(Step(1, Amounts(1000, 10), is_lasting=True), patient)
     for _ in range(16):
-        load.hand_in(tasks=4, estimate=SECONDS)
+        load.submit_job(tasks=4, estimate=SECONDS)
         load.run(0.25)
     assert load.owner.book.get(watcher).status == JobStatus.RUNNING
 
@@ -214,7 +214,7 @@
             if backlog is not None and backlog.retry_after:
                 refused += 1
             else:
-                load.hand_in(tasks=5, estimate=SECONDS)
+                load.submit_job(tasks=5, estimate=SECONDS)
         load.run(0.1)
     # 40 tasks a second are done; what can be of use is of the next 5 s.
     assert owner.news.backlogs()["q"].waiting < 400
--- a/tests/pool/test_preemption.py
+++ b/tests/pool/test_preemption.py
@@ -56,8 +56,8 @@
     load = PoolSimulation(workers=WORKERS, length=SECONDS)
     if patient_tasks:
         step = Step(patient_tasks, Amounts(1000, 10), SECONDS, has_checkpoints=True)
-        load.hand_in_step(step, PATIENT)
-    load.hand_in(tasks=FULL - patient_tasks, estimate=SECONDS)
+        load.submit_step(step, PATIENT)
+    load.submit_job(tasks=FULL - patient_tasks, estimate=SECONDS)
     load.run(0.1)
     return load
 
@@ -81,7 +81,7 @@
     """
     load = _full_pool(patient_tasks=0 if queue is QUEUE else PATIENT_TASKS)
     for _ in range(300):
-        load.hand_in(tasks=4, estimate=SECONDS, queue=queue)
+        load.submit_job(tasks=4, estimate=SECONDS, queue=queue)
     load.run(1.0)
     runs, workers = _looked_at(load)
     assert len(load.owner.book.waiting_steps()) == 300
@@ -98,7 +98,7 @@
     patient = next(job for job in owner.book.live_jobs() if job.queue is PATIENT)
     places = {run.worker for step in patient.steps() for run in step.active_runs()}
     for _ in range(300):
-        load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
+        load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     tickets = dict.fromkeys(set(load.workers) - places, "t")
     for step in owner.book.waiting_steps():
         owner.advising.ask(step, load.now)
@@ -116,7 +116,7 @@
     """Guards against the same where no few stops make room enough."""
     load = _full_pool(PATIENT_TASKS)
     for _ in range(300):
-        load.hand_in_step(Step(1, Amounts(4000, 10), SECONDS))
+        load.submit_step(Step(1, Amounts(4000, 10), SECONDS))
     load.host.clock.advance(1.0)
     runs, workers = _looked_at(load)
     assert load.stops == 0
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -153,7 +153,7 @@
     def run(self, seconds, tasks=0):
         for _ in range(round(seconds / 0.5)):
             if tasks:
-                self.load.hand_in(tasks)
+                self.load.submit_job(tasks)
             self.upkeep.step(self.load.host.configuration.waves)
             self.load.run(0.5)
 
@@ -177,7 +177,7 @@
 def test_wave_without_time_stops_what_runs_and_is_in_time():
     """Tasks take an hour, and the wave is to be over within 20 s."""
     cell = Cell(length=3600.0, seconds=20.0)
-    cell.load.hand_in(tasks=24)
+    cell.load.submit_job(tasks=24)
     cell.load.run(1.0)
     began = cell.load.now
     cell.run(20.0)
@@ -286,7 +286,7 @@
 
 def test_wave_that_was_taken_back_opens_its_machines_again():
     cell = Cell(length=3600.0)
-    cell.load.hand_in(tasks=24)
+    cell.load.submit_job(tasks=24)
     cell.load.run(1.0)
     cell.run(1.0)
     assert sum(room.is_emptied for room in cell.load.owner.rooms) == 2
--- a/tests/pool/test_waits.py
+++ b/tests/pool/test_waits.py
@@ -54,7 +54,7 @@
     it waits, with the time since its advice was asked for.
     """
     load = load_of()
-    load.hand_in(tasks=1, queue=ADVISED)
+    load.submit_job(tasks=1, queue=ADVISED)
     for _ in range(7):
         place_again(load, 0.5)
     assert reasons(waits) == ["advice", "advice"]
@@ -66,7 +66,7 @@
 def test_steps_that_are_not_asked_about_say_so(waits):
     load = load_of()
     for _ in range(3):
-        load.hand_in(tasks=4, queue=ADVISED)
+        load.submit_job(tasks=4, queue=ADVISED)
     load.owner.rooms.get("w0").processors = 0
     place_again(load, 0.5)
     # What comes free soon is enough to ask about the first.
@@ -75,7 +75,7 @@
 
 def test_step_that_no_worker_with_room_may_run_says_so(waits):
     load = load_of(workers=2)
-    load.hand_in(tasks=1, queue=ADVISED)
+    load.submit_job(tasks=1, queue=ADVISED)
     (step,) = load.owner.book.waiting_steps()
     load.owner.advising.want(step, load.now)
     # Only the first worker may run it, and it is full.
@@ -102,9 +102,9 @@
     workers each, when the job was long removed from the store.
     """
     load = load_of()
-    load.hand_in(tasks=1, queue=ADVISED)
+    load.submit_job(tasks=1, queue=ADVISED)
     place_again(load, 0.5)
-    (identifier,) = load.handed_in
+    (identifier,) = load.submitted_at
     (step,) = load.owner.book.waiting_steps()
     assert load.owner.advising.status(step, load.now).asked_seconds is not None
     host = SimpleNamespace(
