--- a/tests/pool/test_late_orders.py
+++ b/tests/pool/test_late_orders.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.pool.late_days import Day
+from tests.pool.fault_simulation import Day
 
 # Days on which a call to the life before of a worker, carried out late, has an end
 # forgotten, or on which a late run is beside the run of its task as its owner changes.
