--- a/tests/pool/fault_simulation.py
+++ b/tests/pool/fault_simulation.py
@@ -1,7 +1,7 @@
-"""Play days of late orders, crashes and takeovers, without threads.
+"""Simulate a pool under delayed orders, crashes and takeovers, without threads.
 
-Workers keep to what the platform's page says of them. A call without an answer may be
-carried out seconds later, by the next life of the worker too.
+Workers behave as the platform documents them. A call without an answer may be executed
+seconds later, also by the next incarnation of the worker.
 """
 
 import heapq
@@ -19,35 +19,35 @@
 from tests.pool.owners import register
 from tests.pool.standins import Host, ManualExecutor
 
-__all__ = ["Day"]
+__all__ = ["FaultSimulation"]
 
 QUEUE = Queue("q", "h", "/q/", "pool", 0, 1000, 1.5, 0.5, 3.0, True, None)
 WORKERS = 14
 CAPACITY = 4000
-TROUBLE_SECONDS = 20.0
-CALM_SECONDS = 25.0
+FAULT_SECONDS = 20.0
+RECOVERY_SECONDS = 25.0
 STEP_SECONDS = 0.05
-LONGEST_LEASE_SECONDS = 6.0
-GANG_PATIENCE_SECONDS = 4.0
+MAX_LEASE_SECONDS = 6.0
+GANG_TIMEOUT_SECONDS = 4.0
 STOP_SECONDS = 0.15
-LATEST_SECONDS = 12.0
-MOST_JOBS = 120
+MAX_DELAY_SECONDS = 12.0
+JOB_LIMIT = 120
 FENCED = 409
 
 
-class NoWaiting(ManualClock):
-    """Return at once from a wait: the day's steps move the time."""
+class NonBlockingClock(ManualClock):
+    """Return at once from waits; only the steps of the simulation advance the time."""
 
     def wait(self, event, seconds):
         return event.is_set()
 
 
-class StoringHost(Host):
-    """Take commits too."""
+class WritableHost(Host):
+    """Store the rows of commits."""
 
     def __init__(self):
         super().__init__()
-        self.clock = NoWaiting(1000.0)
+        self.clock = NonBlockingClock(1000.0)
         self._version = 10
 
     def queue_of(self, document):
@@ -70,8 +70,8 @@
         return self._version
 
 
-class Work:
-    """Hold what a worker has done of one run."""
+class SimulatedRun:
+    """Hold the progress of one run on a simulated worker."""
 
     def __init__(self, rng):
         self.done = 0.0
@@ -79,139 +79,146 @@
         self.length = rng.choice([0.05, 0.1, 0.3, 1.0, 2.0])
         self.fails = rng.random() < 0.05
         self.ends_at = None
-        # Its order was sent to the life before of its worker. No owner can forbid it.
+        # Whether its order was sent to the worker's previous incarnation. No owner can
+        # prevent such a run.
         self.is_stray = False
 
 
-class LateWorker:
-    """Carry out orders as the platform's workers do.
+class SimulatedWorker:
+    """Execute orders as the platform's workers do.
 
     Attributes
     ----------
     born : int
-        Number of its life.
+        Number of its incarnation.
     runs : dict
-        Work by key and attempt.
+        Simulated runs by key and attempt.
     """
 
-    def __init__(self, day, name):
+    def __init__(self, simulation, name):
         self.name = name
-        self.is_cut = False
+        self.is_partitioned = False
         self.is_up = True
         self.born = 0
-        self._day = day
-        self.begin_life()
+        self._simulation = simulation
+        self.restart()
 
-    def begin_life(self):
-        """Begin anew under the same id, and know nothing of before."""
+    def restart(self):
+        """Restart under the same id without any earlier state."""
         self.is_up = True
         self.born += 1
         self.runs, self.ends = {}, []
-        self._count = 0
-        self._highest = {}
-        self._fence = 0
+        self._end_count = 0
+        self._highest_attempts = {}
+        self._highest_epoch = 0
         self._lease_end = 0.0
-        self._clock_offset = self._day.rng.uniform(0.0, 1000.0)
+        self._clock_offset = self._simulation.rng.uniform(0.0, 1000.0)
 
     def crash(self):
-        """End, with all that runs."""
+        """Stop together with all runs."""
         self.is_up = False
         self.runs = {}
 
     @property
     def is_reached(self):
-        """Return whether calls reach it."""
-        return self.is_up and not self.is_cut
+        """Return whether calls reach the worker."""
+        return self.is_up and not self.is_partitioned
 
     @property
     def _clock(self):
-        return self._day.now + self._clock_offset
+        return self._simulation.now + self._clock_offset
 
     def start(self, key, attempt, lease_end, epoch):
-        if epoch < self._fence:
+        if epoch < self._highest_epoch:
             return StartOutcome.FENCED
-        self._fence = epoch
+        self._highest_epoch = epoch
         if (key, attempt) in self.runs:
             return StartOutcome.STARTED
         if lease_end < self._clock:
             return StartOutcome.EXPIRED
-        self._extend(lease_end)
-        if attempt <= self._highest.get(key, 0):
+        self._extend_lease(lease_end)
+        if attempt <= self._highest_attempts.get(key, 0):
             return StartOutcome.OUTDATED
-        if self._taken() + self._day.step_of(key).room_demand.processors > CAPACITY:
+        if (
+            self._used_processors()
+            + self._simulation.step_of(key).room_demand.processors
+            > CAPACITY
+        ):
             return StartOutcome.NO_ROOM
-        self.runs[(key, attempt)] = Work(self._day.rng)
+        self.runs[(key, attempt)] = SimulatedRun(self._simulation.rng)
         return StartOutcome.STARTED
 
     def stop(self, key, attempt, epoch):
         self._check(epoch)
-        self._highest[key] = max(self._highest.get(key, 0), attempt)
-        work = self.runs.get((key, attempt))
-        if work is not None and work.ends_at is None:
-            work.ends_at = self._day.now + STOP_SECONDS
+        self._highest_attempts[key] = max(self._highest_attempts.get(key, 0), attempt)
+        run = self.runs.get((key, attempt))
+        if run is not None and run.ends_at is None:
+            run.ends_at = self._simulation.now + STOP_SECONDS
 
-    def hold(self, epoch, acknowledged, lease_end):
+    def renew(self, epoch, acknowledged, lease_end):
         self._check(epoch)
         self.ends = [end for end in self.ends if end.number > acknowledged]
         if lease_end is not None:
-            self._extend(lease_end)
+            self._extend_lease(lease_end)
         runs = [
-            RunReport(*name, percent=int(min(99, 100 * work.done / work.length)))
-            for name, work in self.runs.items()
+            RunReport(*name, percent=int(min(99, 100 * run.done / run.length)))
+            for name, run in self.runs.items()
         ]
         return WorkerReport(self._clock, self.born, runs, list(self.ends))
 
     def work(self, seconds):
-        """Go on with all that runs."""
+        """Advance all runs by some seconds, or end them if the lease has expired."""
         if self._clock > self._lease_end:
             for name in list(self.runs):
                 self.end(name, "lapsed")
-        for name, work in list(self.runs.items()):
+        for name, run in list(self.runs.items()):
             if name in self.runs:
-                self._work_on(name, work, seconds)
+                self._advance_run(name, run, seconds)
 
     def end(self, name, outcome):
-        """End a run, and list its end."""
+        """End a run and list its end."""
         del self.runs[name]
         key, attempt = name
-        self._highest[key] = max(self._highest.get(key, 0), attempt)
-        self._count += 1
-        self.ends.append(EndReport(self._count, key, attempt, outcome))
+        self._highest_attempts[key] = max(self._highest_attempts.get(key, 0), attempt)
+        self._end_count += 1
+        self.ends.append(EndReport(self._end_count, key, attempt, outcome))
 
-    def _work_on(self, name, work, seconds):
+    def _advance_run(self, name, run, seconds):
         key, attempt = name
-        step = self._day.step_of(key)
-        members = self._day.members(key, attempt) if step.is_gang else [(self, name)]
-        if work.ends_at is not None:
-            if self._day.now >= work.ends_at:
+        step = self._simulation.step_of(key)
+        members = (
+            self._simulation.members(key, attempt) if step.is_gang else [(self, name)]
+        )
+        if run.ends_at is not None:
+            if self._simulation.now >= run.ends_at:
                 self.end(name, "stopped")
         elif step.is_gang and len(members) < step.tasks:
-            work.alone += seconds
-            if work.alone > GANG_PATIENCE_SECONDS:
+            run.alone += seconds
+            if run.alone > GANG_TIMEOUT_SECONDS:
                 self.end(name, "alone")
         else:
-            work.done += seconds
-            self._end_if_due(name, work, step, members)
+            run.done += seconds
+            self._end_if_due(name, run, step, members)
 
-    def _end_if_due(self, name, work, step, members):
-        if work.fails and work.done > work.length / 2:
+    def _end_if_due(self, name, run, step, members):
+        if run.fails and run.done > run.length / 2:
             self.end(name, "failed")
             _end_all([one for one in members if one[1] != name], "broken")
-        elif not step.is_lasting and work.done >= work.length:
+        elif not step.is_lasting and run.done >= run.length:
             _end_all(members, "done")
 
     def _check(self, epoch):
-        if epoch < self._fence:
+        if epoch < self._highest_epoch:
             raise CheckFailed(address=self.name, status=FENCED, body=b"")
-        self._fence = epoch
+        self._highest_epoch = epoch
 
-    def _extend(self, lease_end):
-        most = self._clock + LONGEST_LEASE_SECONDS
-        self._lease_end = max(self._lease_end, min(lease_end, most))
+    def _extend_lease(self, lease_end):
+        latest_end = self._clock + MAX_LEASE_SECONDS
+        self._lease_end = max(self._lease_end, min(lease_end, latest_end))
 
-    def _taken(self):
+    def _used_processors(self):
         return sum(
-            self._day.step_of(key).room_demand.processors for key, _ in self.runs
+            self._simulation.step_of(key).room_demand.processors for key, _ in self.runs
         )
 
 
@@ -221,29 +228,29 @@
 
 
 class NoAnswer(Exception):
-    """Tell that a call had no answer."""
+    """Raise for a call that got no answer."""
 
 
-class LateClient:
-    """Call a worker over a network that may lose a call, or carry it out late."""
+class UnreliableClient:
+    """Call a worker over a network that may lose or delay a call."""
 
-    def __init__(self, day, worker):
-        self._day = day
+    def __init__(self, simulation, worker):
+        self._simulation = simulation
         self._worker = worker
 
     def start(self, run, payload, lease_end, epoch, checkpoint="", ticket=""):
-        life = self._worker.born
+        incarnation = self._worker.born
 
-        def carry_out():
+        def execute():
             outcome = self._worker.start(run.key, run.attempt, lease_end, epoch)
-            work = self._worker.runs.get((run.key, run.attempt))
-            if work is not None:
-                work.is_stray = self._worker.born != life
-                self._day.note_run(self._worker, run.key)
+            started = self._worker.runs.get((run.key, run.attempt))
+            if started is not None:
+                started.is_stray = self._worker.born != incarnation
+                self._simulation.note_started(self._worker, run.key)
             return outcome
 
         try:
-            return self._call(carry_out)
+            return self._call(execute)
         except NoAnswer:
             return StartOutcome.UNKNOWN
 
@@ -255,54 +262,61 @@
 
     def renew(self, epoch, acknowledged, lease_end=None, wait_seconds=0.0):
         try:
-            return self._call(lambda: self._worker.hold(epoch, acknowledged, lease_end))
+            return self._call(
+                lambda: self._worker.renew(epoch, acknowledged, lease_end)
+            )
         except NoAnswer as error:
             raise WorkerSilent(worker=self._worker.name) from error
 
-    def _call(self, carry_out):
+    def _call(self, execute):
         if not self._worker.is_reached:
             raise NoAnswer
-        if self._day.is_unanswered():
-            self._day.later(lambda: self._carry_out_late(carry_out))
+        if self._simulation.loses_answer():
+            self._simulation.run_later(lambda: self._execute_late(execute))
             raise NoAnswer
-        return carry_out()
+        return execute()
 
-    def _carry_out_late(self, carry_out):
+    def _execute_late(self, execute):
         if self._worker.is_reached:
             try:
-                carry_out()
+                execute()
             except CheckFailed:
                 return
 
 
-class Day:
-    """Play one day; what happens on it is drawn by its seed.
+class FaultSimulation:
+    """Simulate a pool with random jobs and faults, followed by a recovery phase.
+
+    Parameters
+    ----------
+    seed : int
+        Determines all random choices.
 
     Attributes
     ----------
-    second_runs : list of TaskKey
-        Begun while another run of the task was at work on another worker; runs of
-        stray orders do not count.
+    duplicate_runs : list of TaskKey
+        Tasks of which a run started while another one was active on another worker.
+        Runs of stray orders do not count.
     """
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.second_runs = []
-        self._host = StoringHost()
-        self._late_share = self.rng.choice([0.05, 0.15, 0.3])
-        self._is_calm = False
+        self.duplicate_runs = []
+        self._host = WritableHost()
+        self._loss_probability = self.rng.choice([0.05, 0.15, 0.3])
+        self._has_faults_ended = False
         self._events = []
-        self._planned = 0
+        self._event_count = 0
         self._steps = {}
         self._identifiers = []
         self._epoch = 2
         self._owner = None
-        self._asks_at = {}
+        self._poll_at = {}
         self._workers = {}
         for number in range(WORKERS):
             name = f"w{number}"
             register(self._host, name)
-            self._workers[name] = LateWorker(self, name)
+            self._workers[name] = SimulatedWorker(self, name)
         self._take_over()
 
     @property
@@ -321,73 +335,73 @@
             if name[0].step_key == key.step_key and name[1] == attempt
         ]
 
-    def note_run(self, worker, key):
-        """Take in that a worker has begun a run of a task."""
-        at_work = {
+    def note_started(self, worker, key):
+        """Record that a worker has started a run of a task."""
+        active = {
             one.name
             for one in self._workers.values()
-            for name, work in one.runs.items()
-            if name[0] == key and not work.is_stray
+            for name, run in one.runs.items()
+            if name[0] == key and not run.is_stray
         }
-        if worker.name in at_work and len(at_work) > 1:
-            self.second_runs.append(key)
+        if worker.name in active and len(active) > 1:
+            self.duplicate_runs.append(key)
 
-    def is_unanswered(self):
-        return not self._is_calm and self.rng.random() < self._late_share
+    def loses_answer(self):
+        return not self._has_faults_ended and self.rng.random() < self._loss_probability
 
-    def later(self, happen):
-        """Let something happen some seconds later."""
-        self._planned += 1
-        at = self.now + self.rng.uniform(0.0, LATEST_SECONDS)
-        heapq.heappush(self._events, (at, self._planned, happen))
+    def run_later(self, action):
+        """Run an action after a random delay."""
+        self._event_count += 1
+        at = self.now + self.rng.uniform(0.0, MAX_DELAY_SECONDS)
+        heapq.heappush(self._events, (at, self._event_count, action))
 
     def run(self):
-        """Play the trouble and the calm after it."""
-        calm_at = self.now + TROUBLE_SECONDS
-        while self.now < calm_at:
-            self._make_trouble()
-            self._pass_time()
-        self._is_calm = True
+        """Run the phase with faults and the recovery phase after it."""
+        faults_end_at = self.now + FAULT_SECONDS
+        while self.now < faults_end_at:
+            self._inject_faults()
+            self._advance()
+        self._has_faults_ended = True
         for worker in self._workers.values():
-            self._bring_back(worker)
-        over_at = self.now + CALM_SECONDS
-        while self.now < over_at:
-            self._pass_time()
-
-    def standing(self):
-        """Return the tasks that should be done, or at work, and are neither."""
-        at_work = {name[0] for worker in self._workers.values() for name in worker.runs}
+            self._recover(worker)
+        end_at = self.now + RECOVERY_SECONDS
+        while self.now < end_at:
+            self._advance()
+
+    def stuck_tasks(self):
+        """Return the tasks that are neither done nor running."""
+        active = {name[0] for worker in self._workers.values() for name in worker.runs}
         return [
             TaskKey(*step.key, index)
             for identifier in self._identifiers
             for step in self._owner.book.get(identifier).steps()
             for index, task in enumerate(step.tasks)
-            if not task.is_done and TaskKey(*step.key, index) not in at_work
+            if not task.is_done and TaskKey(*step.key, index) not in active
         ]
 
-    def _make_trouble(self):
-        if self.rng.random() < 0.25 and len(self._identifiers) < MOST_JOBS:
-            self._hand_in()
+    def _inject_faults(self):
+        if self.rng.random() < 0.25 and len(self._identifiers) < JOB_LIMIT:
+            self._submit_job()
         if self.rng.random() < 0.06:
-            self._cut(self.rng.choice(list(self._workers.values())))
+            self._partition(self.rng.choice(list(self._workers.values())))
         if self.rng.random() < 0.004:
             self._take_over()
 
-    def _cut(self, worker):
+    def _partition(self, worker):
         if not worker.is_reached:
             return
-        worker.is_cut = True
+        worker.is_partitioned = True
         if self.rng.random() < 0.5:
             worker.crash()
-        self.later(lambda: self._bring_back(worker))
+        self.run_later(lambda: self._recover(worker))
 
     @staticmethod
-    def _bring_back(worker):
-        worker.is_cut = False
+    def _recover(worker):
+        worker.is_partitioned = False
         if not worker.is_up:
-            worker.begin_life()
+            worker.restart()
 
-    def _hand_in(self):
+    def _submit_job(self):
         identifier = f"{len(self._identifiers) + 1:016x}"
         steps = self._draw_steps()
         for number, step in enumerate(steps):
@@ -431,29 +445,29 @@
         )
         owner.sources.load()
         for name, link in owner.links_by_worker.items():
-            link.client = LateClient(self, self._workers[name])
-            self._asks_at[name] = self.now + self.rng.uniform(0.0, 0.2)
+            link.client = UnreliableClient(self, self._workers[name])
+            self._poll_at[name] = self.now + self.rng.uniform(0.0, 0.2)
 
-    def _pass_time(self):
+    def _advance(self):
         self._host.clock.advance(STEP_SECONDS)
         while self._events and self._events[0][0] <= self.now:
-            _, _, happen = heapq.heappop(self._events)
-            happen()
+            _, _, action = heapq.heappop(self._events)
+            action()
         for worker in self._workers.values():
             if worker.is_up:
                 worker.work(STEP_SECONDS)
         self._owner.standing.note_confirmed(self.now)
         for name, link in self._owner.links_by_worker.items():
-            if self.now >= self._asks_at[name]:
-                self._asks_at[name] = self.now + self._ask(link)
+            if self.now >= self._poll_at[name]:
+                self._poll_at[name] = self.now + self._poll(link)
         self._owner.loop._decide(self.now)
         if self.rng.random() < 0.7:
             self._owner.journal.commit()
-        self._carry_out(self._owner.orders._executor)
-        self._carry_out(self._owner.orders._stop_executor)
+        self._run_some_orders(self._owner.orders._executor)
+        self._run_some_orders(self._owner.orders._stop_executor)
 
-    def _ask(self, link):
-        """Let a link ask once; return the seconds until it asks again."""
+    def _poll(self, link):
+        """Let a link poll once; return the seconds until its next poll."""
         try:
             link._poll()
         except WorkerSilent:
@@ -464,8 +478,8 @@
             return 0.2
         return self.rng.choice([0.05, 0.3, 0.6])
 
-    def _carry_out(self, executor):
-        """Send some of the orders that wait for a thread, in any order."""
+    def _run_some_orders(self, executor):
+        """Execute about half of the submitted orders, in random order."""
         tasks, executor.tasks = executor.tasks, []
         self.rng.shuffle(tasks)
         for task in tasks:
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -1,4 +1,4 @@
-"""Stand for the process around an owner, and replay a load on its workers."""
+"""Replace the process around an owner, and simulate the workers of its pool."""
 
 import threading
 import zlib
@@ -16,7 +16,7 @@
 
 
 class ManualExecutor:
-    """Run nothing; what was asked for is kept."""
+    """Queue submitted calls without running them."""
 
     def __init__(self):
         self.tasks = []
@@ -32,7 +32,7 @@
 
 
 class Host:
-    """Stand for the process around an owner, with a store of fixed rows."""
+    """Replace the process around an owner, with a store of fixed rows."""
 
     def __init__(self):
         self.clock = ManualClock(1000.0)
@@ -78,16 +78,16 @@
 
 
 class Worker:
-    """Work on what was ordered, at a speed that may change.
+    """Execute runs at a speed that may change.
 
     Attributes
     ----------
     speed : float
-        Of a sound worker 1; 0 stands still.
+        Relative to a normal worker; with 0, runs make no progress.
     is_failing : bool
-        All that it starts fails at once.
+        Whether every run fails at once.
     is_endless : bool
-        What it starts is at work after its length, and never ends.
+        Whether runs reach 100 percent after their length and never end.
     """
 
     def __init__(self, name):
@@ -95,12 +95,12 @@
         self.speed = 1.0
         self.is_failing = False
         self.is_endless = False
-        # Seconds of work done, by task and attempt.
+        # Seconds of progress by task and attempt.
         self.runs = {}
         self.ends = []
 
     def work(self, seconds, length_of):
-        """Go on; return whether a run has ended."""
+        """Advance all runs; return whether one has ended."""
         before = len(self.ends)
         for name in list(self.runs):
             self.runs[name] += seconds * self.speed
@@ -119,31 +119,31 @@
         self.ends.append(EndReport(len(self.ends) + 1, *name, outcome))
 
     def report(self, length_of):
-        most = 100 if self.is_endless else 99
+        highest = 100 if self.is_endless else 99
         runs = [
-            RunReport(*name, percent=int(min(most, 100 * done / length_of(name))))
+            RunReport(*name, percent=int(min(highest, 100 * done / length_of(name))))
             for name, done in self.runs.items()
         ]
         return WorkerReport(50.0, 1, runs, list(self.ends))
 
 
 class PoolSimulation:
-    """Hand jobs to an owner whose workers are simulated, without threads.
+    """Simulate the workers of a pool under a real owner, without threads.
 
     Parameters
     ----------
     workers : int
-        Each with room for four tasks.
-    accelerators : int
-        Of each worker.
+        Number of workers, each with room for four tasks.
     length : float
-        Seconds of a task on a sound worker.
+        Seconds that a task takes on a normal worker.
     long_share : float
-        Of the tasks, drawn by their names, takes three times as long.
+        Share of the tasks, chosen by their names, that take three times as long.
+    accelerators : int
+        Number for each worker.
     """
 
     STEP_SECONDS = 0.05
-    LOOK_SECONDS = 0.8
+    POLL_SECONDS = 0.8
 
     def __init__(self, workers, length, long_share=0.0, accelerators=0):
         self._length = length
@@ -163,24 +163,24 @@
         )
         self.owner.orders._stop_executor = ManualExecutor()
         self.owner.sources.load()
-        self._looked_at = dict.fromkeys(self.workers, 0.0)
+        self._polled_at = dict.fromkeys(self.workers, 0.0)
         self.submitted_at = {}
         self.finished = {}
         self.stops = 0
         for worker in self.workers.values():
-            self._look(worker)
+            self._poll(worker)
 
     @property
     def now(self):
         return self.host.clock.monotonic()
 
     def submit_job(self, tasks, estimate=0.0, queue=QUEUE):
-        """Hand in an urgent job of one step; return its id."""
+        """Submit a job of one step by its number of tasks; return its id."""
         step = Step(tasks, Amounts(1000, 10), estimate)
         return self.submit_step(step, queue)
 
     def submit_step(self, step, queue=QUEUE):
-        """Hand in a job of one step; return its id."""
+        """Submit a job of one step; return its id."""
         identifier = f"{len(self.submitted_at) + 1:016x}"
         document = JobDocument(identifier, "q", "pool", "t", [step], 0.0)
         with self.owner.lock:
@@ -189,30 +189,30 @@
         return identifier
 
     def run(self, seconds):
-        """Let the time pass."""
+        """Advance the simulation."""
         for _ in range(round(seconds / self.STEP_SECONDS)):
             self.host.clock.advance(self.STEP_SECONDS)
-            self._work()
+            self._advance_workers()
             with self.owner.lock:
                 self.owner.standing.note_confirmed(self.now)
                 self.owner.tick(self.now)
                 self.owner.decisions.place(self.now)
-            self._carry_out()
+            self._execute_orders()
 
     def job_durations(self):
-        """Return the seconds that each job took, or has taken so far, ascending."""
+        """Return the seconds that each job took or has taken so far, ascending."""
         return sorted(
             self.finished.get(identifier, self.now) - submitted_at
             for identifier, submitted_at in self.submitted_at.items()
         )
 
-    def _work(self):
+    def _advance_workers(self):
         for worker in self.workers.values():
             has_ended = worker.work(self.STEP_SECONDS, self._length_of)
             link = self.owner.links_by_worker[worker.name]
-            wait = link._poll_seconds() if link._worker_clock else self.LOOK_SECONDS
-            if has_ended or self.now - self._looked_at[worker.name] >= wait:
-                self._look(worker)
+            wait = link._poll_seconds() if link._worker_clock else self.POLL_SECONDS
+            if has_ended or self.now - self._polled_at[worker.name] >= wait:
+                self._poll(worker)
         for job in self.owner.book.jobs():
             if job.is_final:
                 self.finished.setdefault(job.identifier, self.now)
@@ -222,14 +222,14 @@
         is_long = zlib.crc32(str(key).encode()) % 100 < 100 * self._long_share
         return self._length * (LONG_FACTOR if is_long else 1)
 
-    def _look(self, worker):
-        self._looked_at[worker.name] = self.now
+    def _poll(self, worker):
+        self._polled_at[worker.name] = self.now
         link = self.owner.links_by_worker[worker.name]
         link._worker_clock = 50.0
         self.owner.lists.note_report(link, worker.report(self._length_of), self.now)
         link.acknowledge(link.processed, link.born)
 
-    def _carry_out(self):
+    def _execute_orders(self):
         orders = self.owner.orders
         for start in self.owner.decisions.take_unsent():
             run = start.run
--- a/tests/pool/test_count_age.py
+++ b/tests/pool/test_count_age.py
@@ -1,4 +1,4 @@
-"""As of when the number of jobs that wait is true, as its owner knows it."""
+"""The time as of which an owner's number of waiting jobs is true."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.fixture
-def found():
+def pool():
     host, owner = owner_with(job())
     owner.has_read_state = True
     return host, owner
@@ -17,30 +17,30 @@
 
 
 def counted(owner):
-    """Count anew; return the number and as of when it is true."""
+    """Count again; return the number and the time as of which it is true."""
     owner.host.clock.advance(0.1)
     backlog = owner.news.backlogs().get("q")
     return backlog.waiting if backlog is not None else 0, owner.news.known_at
 
 
-def test_count_is_true_as_of_when_the_state_was_asked_for(found):
-    """Reading took seconds, and its count was taken for that of its end."""
-    host, owner = found
+def test_count_is_true_as_of_the_request_for_the_state(pool):
+    """Guards against a count that seems newer, as reading the state took seconds."""
+    host, owner = pool
     confirm(owner)
     assert counted(owner) == (1, 1000.0)
 
 
-def test_count_of_an_owner_whose_feed_of_jobs_is_silent_stays_as_old_as_the_feed(found):
-    """Jobs were accepted and reached no owner, which went on to tell its count."""
-    host, owner = found
+def test_count_without_answers_of_the_job_feed_is_as_old_as_the_last_one(pool):
+    """Guards against a count that lacks jobs which did not reach the owner."""
+    host, owner = pool
     for _ in range(30):
         confirm(owner)
         assert counted(owner) == (1, 1000.0)
 
 
-def test_count_is_as_young_as_the_last_answer_of_the_feed(found):
-    """The owner's own feed was answered, and its count stayed too old to be told."""
-    host, owner = found
+def test_count_is_as_recent_as_the_last_answer_of_the_feed(pool):
+    """Guards against a count that seems too old although the feed was answered."""
+    host, owner = pool
     calls = []
     host.follow = lambda *args, **options: calls.append((args, options))
     owner.sources.follow_jobs(1)
@@ -51,9 +51,9 @@
     assert counted(owner) == (1, 1000.9)
 
 
-def test_count_of_an_owner_that_may_be_replaced_is_as_old_as_its_last_word(found):
-    """An owner that was replaced without knowing counted jobs that had begun."""
-    host, owner = found
+def test_count_is_as_old_as_the_last_confirmation_of_ownership(pool):
+    """Guards against counting started jobs by an owner that was replaced."""
+    host, owner = pool
     host.clock.advance(1.0)
     owner.sources._note_complete(owner.now())
     assert counted(owner) == (1, 1000.0)
@@ -61,9 +61,9 @@
     assert counted(owner) == (1, None)
 
 
-def test_count_that_is_told_again_keeps_its_time(found):
-    """A count of before was vouched for with the answer that came after it."""
-    host, owner = found
+def test_cached_count_keeps_its_time(pool):
+    """Guards against dating an earlier count by a later answer."""
+    host, owner = pool
     confirm(owner)
     counted(owner)
     host.clock.advance(0.05)
@@ -73,16 +73,16 @@
     assert owner.news.known_at == 1000.0
 
 
-def test_owner_that_has_not_read_its_state_knows_no_count(found):
-    """An empty book was taken for a pool in which nothing waits."""
-    _, owner = found
+def test_count_is_unknown_until_the_state_was_read(pool):
+    """Guards against taking an empty book for a pool without waiting jobs."""
+    _, owner = pool
     owner.has_read_state = False
     confirm(owner)
     assert counted(owner)[1] is None
 
 
-def test_count_is_not_known_while_jobs_may_have_begun_unseen():
-    """Jobs whose starts had no record were counted at a takeover, and were at work."""
+def test_count_is_unknown_while_jobs_may_have_started_unseen():
+    """Guards against counting running jobs after a takeover without their records."""
     host = host_with_two_workers()
     owner = owner_of(host, is_journal_exact=False)
     owner.has_read_state = True
--- a/tests/pool/test_late_orders.py
+++ b/tests/pool/test_late_orders.py
@@ -1,18 +1,19 @@
-"""Orders that are carried out late, beside crashes, cuts and takeovers."""
+"""Delayed orders combined with crashes, network partitions and takeovers."""
 
 import pytest
 
-from tests.pool.fault_simulation import Day
+from tests.pool.fault_simulation import FaultSimulation
 
-# Days on which a call to the life before of a worker, carried out late, has an end
-# forgotten, or on which a late run is beside the run of its task as its owner changes.
+# With these seeds, a delayed call that was sent to a worker's previous incarnation has
+# the next one discard an end, or a task has a delayed run beside its current one when
+# the pool's owner changes.
 SEEDS = (9, 17, 19, 26, 27, 33, 42, 48, 74)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_stands_still_after_late_orders(seed):
-    """A task waits for ever for a run that is over, or runs on two workers."""
-    day = Day(seed)
-    day.run()
-    assert day.standing() == []
-    assert day.second_runs == []
+def test_delayed_orders_leave_no_task_stuck_or_running_twice(seed):
+    """Guards against a task that waits for an ended run for ever, or runs twice."""
+    simulation = FaultSimulation(seed)
+    simulation.run()
+    assert simulation.stuck_tasks() == []
+    assert simulation.duplicate_runs == []
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -1,4 +1,4 @@
-"""Keeping in touch with workers."""
+"""Polling workers: leases, acknowledgements and restarts."""
 
 import pytest
 
@@ -16,12 +16,12 @@
 )
 from tests.pool.owners import ID, KEY, job, owner_with, place, waiting_tasks
 
-OTHER_LIFE = 421
+OTHER_INSTANCE = 421
 FENCED = 409
 
 
 class Client:
-    """Answer renewals by a script; note the lease that each asked for."""
+    """Answer renewals from a script, and record their leases and acknowledgements."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -32,7 +32,7 @@
 
     def renew(self, epoch, acknowledged, lease_end=None, wait_seconds=0.0):
         if not self.calls_left:
-            raise _EnoughCalls
+            raise _CallsUsedUp
         self.calls_left -= 1
         self.leases.append(lease_end)
         self.acknowledged.append(acknowledged)
@@ -43,6 +43,8 @@
 
 
 class Listener:
+    """Record what a link reports."""
+
     def __init__(self):
         self.events = []
 
@@ -73,8 +75,8 @@
     return WorkerReport(clock.monotonic() + 1000, born, [], [])
 
 
-class _NoWait(ManualClock):
-    """Advance instead of waiting."""
+class _NonBlockingClock(ManualClock):
+    """Advance the time instead of waiting."""
 
     def wait(self, event, seconds):
         self.advance(seconds)
@@ -83,7 +85,7 @@
 
 @pytest.fixture
 def clock():
-    return _NoWait(100.0)
+    return _NonBlockingClock(100.0)
 
 
 @pytest.fixture
@@ -92,35 +94,34 @@
     return WorkerLink(registration, Client(clock), 3, clock, Listener())
 
 
-class _EnoughCalls(Exception):
-    """End the link's endless task."""
+class _CallsUsedUp(Exception):
+    """Raise to end the link's endless loop."""
 
 
 def _run(link, calls):
-    """Let the link make so many calls and take in their answers."""
+    """Let the link make some calls and process their answers."""
     link.client.calls_left = calls
-    with pytest.raises(_EnoughCalls):
+    with pytest.raises(_CallsUsedUp):
         link.run()
 
 
-def test_lease_of_a_silent_worker_runs_out(clock, link):
-    """A caller sees a lasting task that is down for good.
+def test_lease_of_a_silent_worker_expires(clock, link):
+    """Guards against a lasting task that is never rescheduled.
 
-    Its worker left while the owner renewed the lease. The owner asked the dead
-    worker again every 0.2 s and counted each call as a renewal that might have
-    arrived, so the lease never was over and the task was never placed again.
+    Its worker is gone. If each call to it, one every 0.2 s, counts as a renewal that
+    may have arrived, the lease never expires.
     """
     _run(link, 2)
     link.client.answers = [WorkerSilent(worker="w1") for _ in range(60)]
-    given_until = link.lapse_at
+    granted_until = link.lapse_at
     _run(link, 60)
     assert link.is_silent
-    # One call may have been under way as the worker left.
-    assert link.lapse_at <= given_until + LEASE_SECONDS
+    # One call may have been in progress when the worker left.
+    assert link.lapse_at <= granted_until + LEASE_SECONDS
     assert clock.monotonic() > link.lapse_at
 
 
-def test_worker_that_is_back_is_given_a_lease_again(clock, link):
+def test_worker_that_answers_again_is_granted_a_lease(clock, link):
     _run(link, 2)
     link.client.answers = [WorkerSilent(worker="w1")]
     _run(link, 3)
@@ -128,11 +129,11 @@
     assert link.client.leases[-1] is not None
 
 
-def test_silent_worker_is_told_to_forget_nothing(link):
-    """The next life of a worker forgets ends that nobody has read.
+def test_calls_to_a_silent_worker_acknowledge_nothing(link):
+    """Guards against a restarted worker that discards ends which nobody has read.
 
-    It crashed and is back under its id. Calls without an answer may be carried out
-    seconds later; those of its silence acknowledged the ends of the life before.
+    Calls without an answer may be executed seconds later, after the restart. They must
+    not acknowledge the ends of the previous incarnation.
     """
     _run(link, 1)
     link.processed = link.acknowledged = 57
@@ -141,11 +142,11 @@
     assert link.client.acknowledged == [0, 57, 0, 0, 0, 57]
 
 
-def test_look_beside_the_waiting_call_has_nothing_forgotten(link):
-    """The next life of a worker forgets ends that nobody has read.
+def test_refresh_acknowledges_nothing(link):
+    """Guards against a restarted worker that discards ends which nobody has read.
 
-    A stop was answered by it before the link knew of it. The look after the stop
-    acknowledged the ends of the life before, and its answer counts for nothing.
+    A restarted worker may answer a stop before the link knows of the restart. The
+    refresh after the stop must not acknowledge ends of the previous incarnation.
     """
     _run(link, 1)
     link.processed = link.acknowledged = 57
@@ -154,25 +155,25 @@
     assert link.client.acknowledged[-1] == 0
 
 
-def test_first_look_gives_no_lease_for_want_of_a_clock(link):
+def test_first_call_grants_no_lease_as_the_clock_is_unknown(link):
     _run(link, 1)
     assert link.client.leases == [None]
 
 
-def test_lapse_covers_a_worker_whose_clock_is_slow(clock, link):
+def test_lapse_time_covers_a_worker_with_a_slow_clock(clock, link):
     _run(link, 1)
     end = link.grant_lease()
     read_at = clock.monotonic()
-    # At 98% of real time the worker's clock reaches the end only then.
+    # The worker's clock runs at 98% of real time.
     reached = read_at + (end - (1000 + read_at)) / 0.98
     assert link.lapse_at >= reached
 
 
-def test_worker_born_again_under_its_id_starts_anew(clock, link):
-    """A caller's task would seem to run for ever on a worker that restarted.
+def test_restart_under_the_same_id_resets_the_numbers_of_ends(clock, link):
+    """Guards against a task that seems to run for ever on a restarted worker.
 
-    The worker crashed and came back under its id between two looks, so no call
-    failed. Only its time of birth tells; its ends are numbered from 1 again.
+    If the worker restarts between two calls, none fails. Only its ``born`` changes, and
+    its ends are numbered from 1 again.
     """
     _run(link, 1)
     link.processed = link.acknowledged = 7
@@ -183,7 +184,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "event"), [(FENCED, "fenced"), (OTHER_LIFE, "rebirth")]
+    ("status", "event"), [(FENCED, "fenced"), (OTHER_INSTANCE, "rebirth")]
 )
 def test_refused_renewal(link, status, event):
     link.client.answers = [CheckFailed(address="w1", status=status)]
@@ -191,13 +192,13 @@
     assert event in link._listener.events
 
 
-def test_acknowledgement_of_the_life_before_reaches_no_later_one():
-    """A worker crashes and is back under its id while a commit is on its way.
+def test_acknowledgement_of_a_previous_incarnation_is_ignored():
+    """Guards against finished tasks that run again after a restart of a worker.
 
-    The commit acknowledged 57 ends of the life before. Taken for the new one, whose
-    ends are numbered from 1, the worker forgot each end as soon as it had listed it;
-    while the store was away none of them was recorded, and after a power loss of all
-    hosts tasks that were done ran again.
+    The worker restarts while a commit is in progress that covers 57 ends of its
+    previous incarnation. Acknowledged to the new one, which numbers its ends from 1,
+    the commit makes it discard each end at once. If the store is unavailable, the ends
+    aren't recorded either, and after a power loss of all hosts their tasks run again.
     """
     clock = ManualClock()
     registration = Registration("w1", "pool", "a:1", "z", Amounts(4000, 4096))
@@ -212,8 +213,8 @@
     assert link.acknowledged == 3
 
 
-class LateWorker:
-    """Stand for a worker that carries out a call late, in its next life too."""
+class SlowWorker:
+    """Simulate a worker that executes calls late, also after a restart."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -221,64 +222,64 @@
         self.ends = []
         self.runs = []
         self.is_late = False
-        self._forgets_late = 0
+        self._late_acknowledgement = 0
 
     def renew(self, epoch, acknowledged, lease_end=None, wait_seconds=0.0):
         if self.is_late:
-            self._forgets_late = max(self._forgets_late, acknowledged)
+            self._late_acknowledgement = max(self._late_acknowledgement, acknowledged)
             raise WorkerSilent(worker="w1")
-        self._forget(acknowledged)
+        self._discard_ends(acknowledged)
         clock = self._clock.monotonic()
         return WorkerReport(clock, self.born, list(self.runs), list(self.ends))
 
     def start(self, run, *rest):
         return StartOutcome.STARTED
 
-    def begin_again(self):
+    def restart(self):
         self.born += 1
         self.ends = []
         self.is_late = False
 
-    def carry_out_late(self):
-        self._forget(self._forgets_late)
+    def execute_late(self):
+        self._discard_ends(self._late_acknowledgement)
 
-    def _forget(self, acknowledged):
+    def _discard_ends(self, acknowledged):
         self.ends = [end for end in self.ends if end.number > acknowledged]
 
 
-def test_run_whose_end_a_late_call_has_forgotten_is_placed_again():
-    """A task stands still for ever: its run is over, and its end is on no list.
+def test_run_whose_end_a_delayed_call_discarded_is_placed_again():
+    """Guards against a task that is stuck, as its run ended and the end was discarded.
 
-    A call without an answer acknowledged 57 ends of one life of a worker. It was
-    carried out in the next, under the same id, whose ends are numbered from 1 again.
+    A call without an answer acknowledges 57 ends of one incarnation of a worker. It is
+    executed by the next one, which numbers its ends from 1 again.
     """
     host, owner = owner_with(job())
     link = owner.links_by_worker["w1"]
-    link.client = worker = LateWorker(host.clock)
+    link.client = worker = SlowWorker(host.clock)
     owner.rooms.get("w2").is_open = False
     link._poll()
     link.processed = link.acknowledged = 57
     worker.is_late = True
     with pytest.raises(WorkerSilent):
         link._poll()
-    worker.begin_again()
+    worker.restart()
     link._poll()
     with owner.lock:
         owner.decisions.place(host.clock.monotonic())
     (start,) = owner.decisions.take_unsent()
     owner.orders._start(link, start)
     worker.ends = [EndReport(1, KEY, 1, "failed")]
-    worker.carry_out_late()
+    worker.execute_late()
     host.clock.advance(0.1)
     link._poll()
     assert waiting_tasks(owner) == 1
 
 
-def test_list_of_the_life_before_hides_no_end_of_the_next():
-    """A task stands still for ever: its end was listed, and taken for known.
+def test_report_of_a_previous_incarnation_is_ignored():
+    """Guards against a task that is stuck, as its end counts as processed already.
 
-    A list that was asked for after a stop waited for the lock while the worker was
-    found to be in a new life. It brought 57 ends; the new life numbers its own anew.
+    A report requested after a stop waits for the lock while the link detects a restart
+    of the worker. It lists 57 ends; the new incarnation numbers its own from 1.
     """
     host, owner = owner_with(job())
     owner.rooms.get("w2").is_open = False
@@ -294,8 +295,8 @@
     assert owner.book.get(ID).status == JobStatus.COMPLETED
 
 
-class PlacingAtOnce:
-    """Let the owner decide each time that it is woken."""
+class ImmediatePlacement:
+    """Replace the owner's wake-up event; place tasks each time that it is set."""
 
     def __init__(self, owner):
         self._owner = owner
@@ -306,26 +307,27 @@
 
 
 @pytest.mark.parametrize("has_ended", [False, True])
-def test_run_that_the_next_life_has_begun_is_not_placed_again(has_ended):
-    """A task runs twice: its order reached a worker that had crashed and was back.
+def test_run_started_by_a_new_incarnation_is_not_placed_again(has_ended):
+    """Guards against a task that runs twice after its worker restarted.
 
-    Its link found the new life and gave up all runs of the worker, then took in the
-    list that showed this one. In between the task was placed on another worker.
+    The restarted worker executes the start order. If the link gives up all runs of the
+    worker before it applies the report that lists this one, the task is placed on
+    another worker in between.
     """
     host, owner = owner_with(job())
     link = owner.links_by_worker["w1"]
-    link.client = worker = LateWorker(host.clock)
+    link.client = worker = SlowWorker(host.clock)
     link._poll()
     owner.rooms.get("w2").is_open = False
     (run,) = place(owner)
     owner.rooms.get("w2").is_open = True
-    worker.begin_again()
+    worker.restart()
     if has_ended:
         worker.ends = [EndReport(1, *run.name, "done")]
     else:
         worker.runs = [RunReport(*run.name)]
-    owner._wakeup = decider = PlacingAtOnce(owner)
-    link._clock = host.clock = _NoWait(host.clock.monotonic())
+    owner._wakeup = placement = ImmediatePlacement(owner)
+    link._clock = host.clock = _NonBlockingClock(host.clock.monotonic())
     link._poll()
-    assert decider.placed == []
+    assert placement.placed == []
     assert owner.book.step_of(KEY).tasks[0].is_done == has_ended
--- a/tests/pool/test_liveness.py
+++ b/tests/pool/test_liveness.py
@@ -1,4 +1,4 @@
-"""A crashed worker's runs are placed again at once; those of one cut off are not."""
+"""Rescheduling the runs of crashed workers at once, but not of partitioned ones."""
 
 import pytest
 
@@ -19,14 +19,14 @@
 
 
 class Machines:
-    """Answer with a list, or not at all."""
+    """Answer with a list of machines, or not at all."""
 
     def __init__(self, *workers):
         self.workers = workers
-        self.is_away = False
+        self.is_unavailable = False
 
     def fetch(self):
-        if self.is_away:
+        if self.is_unavailable:
             raise CheckFailed(address="machines", status=0)
         return [
             Machine(f"m{number}", "pool", bool(worker), worker)
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def load():
-    """Two workers; four tasks run on one of them, which then falls silent."""
+    """Return a pool of two workers; one runs four tasks and stopped answering."""
     load = PoolSimulation(workers=2, length=60.0)
     load.submit_job(tasks=4)
     load.run(1.0)
@@ -54,44 +54,45 @@
     return job.occurrences[0][0].active_runs()
 
 
-def look(load, machines):
+def waiting_after_check(load, machines):
+    """Check silent workers once; return how many tasks wait for a worker."""
     LivenessCheck(load.owner, machines).check_once()
     (job,) = load.owner.book.jobs()
     return len(job.occurrences[0][0].waiting)
 
 
-def test_runs_of_a_crashed_worker_wait_for_another_at_once(load):
-    # A worker crashes with the tasks of a count. Its lease lasts 3.7 s more, and until
-    # then nobody knew whether it was only cut off: the manager waited that long.
-    assert look(load, Machines(load.other, "")) == 4
+def test_runs_of_a_crashed_worker_are_rescheduled_at_once(load):
+    # Without the list, a crashed worker can't be told from a partitioned one, and its
+    # tasks would wait until its lease expires 3.7 s later.
+    assert waiting_after_check(load, Machines(load.other, "")) == 4
     assert load.owner.rooms.get(load.silent).runs == {}
 
 
-def test_runs_of_a_worker_that_is_cut_off_are_left_alone(load):
-    # It runs on behind the cut: placed again, each task would run twice.
-    assert look(load, Machines(load.other, load.silent)) == 0
+def test_runs_of_a_partitioned_worker_are_kept(load):
+    # The worker continues to run: rescheduled, each task would run twice.
+    assert waiting_after_check(load, Machines(load.other, load.silent)) == 0
 
 
-def test_order_without_an_answer_is_waited_for(load):
-    # The order may be carried out by the next life under the same id.
+def test_run_of_an_unanswered_order_is_kept(load):
+    # The order may still be executed by a restarted worker under the same id.
     run = runs(load)[0]
     run.phase, run.was_seen = RunPhase.UNSURE, False
-    assert look(load, Machines(load.other, "")) == 3
+    assert waiting_after_check(load, Machines(load.other, "")) == 3
 
 
 @pytest.mark.parametrize("listed", [[], ["", ""], ["stranger"]])
-def test_list_that_lacks_workers_that_answer_tells_nothing(load, listed):
-    # The list is of another cell, or empty after a fault of its service.
-    assert look(load, Machines(*listed)) == 0
+def test_list_without_the_answering_workers_is_ignored(load, listed):
+    # Such a list is of another cell, or empty after a fault of its service.
+    assert waiting_after_check(load, Machines(*listed)) == 0
 
 
-def test_list_that_is_away_tells_nothing(load):
+def test_unavailable_list_is_ignored(load):
     machines = Machines(load.other, "")
-    machines.is_away = True
-    assert look(load, machines) == 0
+    machines.is_unavailable = True
+    assert waiting_after_check(load, machines) == 0
 
 
-def test_worker_that_has_answered_meanwhile_keeps_its_runs(load):
+def test_worker_that_answers_during_the_check_keeps_its_runs(load):
     machines = Machines(load.other, "")
     link = load.owner.links_by_worker[load.silent]
     fetch = machines.fetch
@@ -101,11 +102,11 @@
         return fetch()
 
     machines.fetch = fetch_slowly
-    assert look(load, machines) == 0
+    assert waiting_after_check(load, machines) == 0
 
 
 def _taken_over(place, is_journal_exact):
-    """Return an owner that one of two workers does not answer, after a takeover."""
+    """Return an owner after a takeover that one of two workers doesn't answer."""
     host = host_with_two_workers()
     store_job(host, job(), started_record(place))
     owner = owner_of(host, is_journal_exact=is_journal_exact)
@@ -121,23 +122,23 @@
 def test_new_owner_does_not_wait_for_a_worker_that_has_crashed(
     recorded_at, is_journal_exact
 ):
-    """Guards against a standstill after each takeover beside one crashed worker."""
+    """Guards against a delay of all tasks after a takeover beside a crashed worker."""
     owner = _taken_over(recorded_at, is_journal_exact)
     LivenessCheck(owner, Machines("w1", "")).check_once()
     assert [run.worker for run in place(owner)] == ["w1"]
     assert owner.settling.is_settled
 
 
-def test_new_owner_waits_for_a_worker_that_is_cut_off():
-    """Guards against a second run of what goes on behind a cut."""
+def test_new_owner_waits_for_a_partitioned_worker():
+    """Guards against second runs of tasks that a partitioned worker still runs."""
     owner = _taken_over("w2", is_journal_exact=False)
     LivenessCheck(owner, Machines("w1", "w2")).check_once()
     assert place(owner) == []
     assert not owner.settling.is_settled
 
 
-def test_new_owner_reads_no_machines_once_it_knows_all_workers():
-    """Guards against paid calls that nobody needs."""
+def test_new_owner_stops_reading_machines_once_all_workers_are_known():
+    """Guards against needless calls that are billed."""
     owner = _taken_over("w2", is_journal_exact=False)
     check = LivenessCheck(owner, Machines("w1", ""))
     assert check._silent_links()
@@ -145,8 +146,8 @@
     assert not check._silent_links()
 
 
-def test_new_owner_does_not_wait_until_its_first_call_is_given_up():
-    """Guards against a call of 0.8 s to a dead worker that all tasks wait for."""
+def test_new_owner_does_not_wait_for_its_first_call_to_time_out():
+    """Guards against delaying all tasks by the 0.8 s of a call to a dead worker."""
     host = host_with_two_workers()
     store_job(host, job(), started_record("w2"))
     owner = owner_of(host, is_journal_exact=False)
--- a/tests/pool/test_pace.py
+++ b/tests/pool/test_pace.py
@@ -1,4 +1,4 @@
-"""Paces of filling tasks: what an owner orders when it does not know them."""
+"""Pacing of fillers: orders while the current pace or the tail is unknown."""
 
 import pytest
 
@@ -11,18 +11,18 @@
 SERVING = TaskKey(ID, 0, 0, 0)
 FILLER = TaskKey(ID, 0, 1, 0)
 TAIL_LIMIT_SECONDS = 0.1
-# Tails in milliseconds, far below their limit, between the bounds, and near it.
+# Tails in milliseconds: far below the limit, between the bounds, and near the limit.
 LOW, MIDDLE, HIGH = 20, 65, 90
-# Figures are of half a second, and a worker tells them every 0.4 s.
-LOOK_SECONDS = 0.5
+# A figure is measured over half a second, and a worker reports it every 0.4 s.
+REPORT_INTERVAL_SECONDS = 0.5
 
 
 class Client:
-    """Carry out orders on pace; lose the answers, or refuse, for a while."""
+    """Execute orders on pace; lose the answers or refuse on request."""
 
     def __init__(self):
         self.ordered = []
-        self.pace_there = 100
+        self.actual_pace = 100
         self.loses_answers = False
         self.refuses = False
 
@@ -31,23 +31,23 @@
         self.ordered.append(percent)
         if self.refuses:
             raise CheckFailed(address="w1", status=503, body="")
-        self.pace_there = percent
+        self.actual_pace = percent
         if self.loses_answers:
             raise WorkerSilent(worker="w1")
 
 
 class Pool:
-    """Hold an owner that took over a worker with a filler.
+    """Hold an owner that has taken over a worker with a filler.
 
     Parameters
     ----------
-    pace_there : int
-        At which the owner before has left the filler.
+    actual_pace : int
+        Pace at which the previous owner left the filler.
     is_serving : bool
-        Whether a task with a response time to keep works beside it.
+        Whether a task with a response time limit runs beside it.
     """
 
-    def __init__(self, pace_there, is_serving=True):
+    def __init__(self, actual_pace, is_serving=True):
         self.is_serving = is_serving
         self.host = host_with_two_workers()
         lasting = Step(
@@ -63,34 +63,35 @@
         store_job(self.host, document, record)
         self.owner = owner_of(self.host)
         self.client = self.owner.links_by_worker["w1"].client = Client()
-        self.client.pace_there = pace_there
+        self.client.actual_pace = actual_pace
         report(self.owner, "w2")
 
     @property
     def filler(self):
         return self.owner.rooms.get("w1").runs[(FILLER, 1)]
 
-    def know_pace(self, percent):
-        """Let the owner have set a pace."""
-        self.look(MIDDLE)
-        self.filler.pace = self.client.pace_there = percent
+    def set_known_pace(self, percent):
+        """Make a pace both known to the owner and applied by the worker."""
+        self.report_tail(MIDDLE)
+        self.filler.pace = self.client.actual_pace = percent
         self.client.ordered.clear()
 
-    def look(self, tail, looks=1, attempt=1, others=()):
-        """Take in lists with a tail, each followed by the orders it led to.
+    def report_tail(self, tail, reports=1, attempt=1, others=()):
+        """Apply reports with a tail and execute the orders that follow from each.
 
         Parameters
         ----------
         tail : int or None
-            Of the task that serves, in milliseconds.
-        looks : int
+            Tail of the serving task in milliseconds.
+        reports : int
+            Number of reports.
         attempt : int
-            Of the task that serves; those before have failed.
+            Attempt of the serving task; earlier ones have failed.
         others : sequence of RunReport
-            Listed beside it.
+            Further runs to list.
         """
-        for _ in range(looks):
-            self.host.clock.advance(LOOK_SECONDS)
+        for _ in range(reports):
+            self.host.clock.advance(REPORT_INTERVAL_SECONDS)
             runs = [RunReport(FILLER, 1, percent=10, figure=500), *others]
             if self.is_serving:
                 runs.append(RunReport(SERVING, attempt, percent=100, figure=tail))
@@ -102,163 +103,163 @@
             ]
             found = WorkerReport(50.0, 1, runs, ended)
             self.owner.lists.note_report(link, found, now)
-            self._carry_out()
+            self._execute_orders()
 
-    def _carry_out(self):
+    def _execute_orders(self):
         orders = self.owner.orders
         tasks, orders._stop_executor.tasks = orders._stop_executor.tasks, []
         for step, args in tasks:
             step(*args)
 
 
-@pytest.mark.parametrize("pace_there", [0, 10, 100])
-def test_filler_that_was_taken_over_is_not_held_down(pace_there):
-    """A filler slowed to nothing stands still for good after a takeover.
+@pytest.mark.parametrize("actual_pace", [0, 10, 100])
+def test_filler_returns_to_full_pace_after_a_takeover(actual_pace):
+    """Guards against a slowed filler that makes no progress after a takeover.
 
-    Its new owner took its pace for full, so that it had nothing to order while the
-    tail beside it was low.
+    A new owner that assumes the full pace has nothing to order while the tail is low.
     """
-    pool = Pool(pace_there)
-    pool.look(LOW, looks=8)
-    assert pool.client.pace_there == 100
+    pool = Pool(actual_pace)
+    pool.report_tail(LOW, reports=8)
+    assert pool.client.actual_pace == 100
 
 
-def test_filler_that_was_taken_over_beside_nobody_works_at_full_pace():
-    """A filler stands still after a takeover on a worker where nobody is served."""
-    pool = Pool(pace_there=0, is_serving=False)
-    pool.look(LOW)
-    assert pool.client.pace_there == 100
+def test_filler_without_serving_tasks_gets_full_pace_after_a_takeover():
+    """Guards against a filler that stays stopped on a worker without serving tasks."""
+    pool = Pool(actual_pace=0, is_serving=False)
+    pool.report_tail(LOW)
+    assert pool.client.actual_pace == 100
 
 
-@pytest.mark.parametrize("pace_there", [0, 10, 40])
-def test_filler_that_was_taken_over_is_not_sped_up_beside_a_high_tail(pace_there):
-    """Users wait too long after a takeover: what disturbed them was sped up.
+@pytest.mark.parametrize("actual_pace", [0, 10, 40])
+def test_filler_is_not_sped_up_beside_a_high_tail_after_a_takeover(actual_pace):
+    """Guards against longer response times after a takeover.
 
-    Its new owner took its pace for full and "slowed" it to 50 percent.
+    A new owner that assumes the full pace "slows" the filler to 50 percent, which is
+    faster than its actual pace.
     """
-    pool = Pool(pace_there)
-    pool.look(HIGH)
+    pool = Pool(actual_pace)
+    pool.report_tail(HIGH)
     assert pool.client.ordered
-    assert max(pool.client.ordered) <= pace_there
+    assert max(pool.client.ordered) <= actual_pace
 
 
-def test_filler_that_was_taken_over_is_left_alone_beside_a_fair_tail():
-    pool = Pool(pace_there=10)
-    pool.look(MIDDLE, looks=4)
+def test_filler_keeps_its_pace_beside_a_medium_tail_after_a_takeover():
+    pool = Pool(actual_pace=10)
+    pool.report_tail(MIDDLE, reports=4)
     assert pool.client.ordered == []
 
 
-def test_filler_is_not_held_down_by_an_order_whose_answer_was_lost():
-    """A filler works at half its pace for good though nobody is disturbed.
+def test_filler_returns_to_full_pace_after_a_lost_answer():
+    """Guards against a filler that stays at half its pace beside a low tail.
 
-    The order that slowed it was carried out and its answer lost; its owner believed
-    it at full pace, and had nothing to order.
+    The order that slowed it was executed and the answer lost. An owner that assumes the
+    full pace has nothing to order.
     """
-    pool = Pool(pace_there=100)
-    pool.know_pace(100)
+    pool = Pool(actual_pace=100)
+    pool.set_known_pace(100)
     pool.client.loses_answers = True
-    pool.look(HIGH)
+    pool.report_tail(HIGH)
     pool.client.loses_answers = False
-    assert pool.client.pace_there < 100
-    pool.look(LOW, looks=8)
-    assert pool.client.pace_there == 100
+    assert pool.client.actual_pace < 100
+    pool.report_tail(LOW, reports=8)
+    assert pool.client.actual_pace == 100
 
 
-def test_filler_is_not_sped_up_by_an_order_that_follows_a_lost_answer():
-    """Users wait longer, as a filler is set above what a lost order has left it at."""
-    pool = Pool(pace_there=100)
-    pool.know_pace(20)
+def test_filler_is_not_sped_up_by_the_order_after_a_lost_answer():
+    """Guards against a pace above the one that the unanswered order has set."""
+    pool = Pool(actual_pace=100)
+    pool.set_known_pace(20)
     pool.client.loses_answers = True
-    pool.look(HIGH)
+    pool.report_tail(HIGH)
     pool.client.loses_answers = False
-    first = pool.client.pace_there
-    pool.look(HIGH)
-    assert pool.client.pace_there <= first
+    first = pool.client.actual_pace
+    pool.report_tail(HIGH)
+    assert pool.client.actual_pace <= first
 
 
-def test_refused_order_leaves_the_pace_as_it_was():
-    pool = Pool(pace_there=100)
-    pool.know_pace(80)
+def test_refused_order_leaves_the_known_pace_unchanged():
+    pool = Pool(actual_pace=100)
+    pool.set_known_pace(80)
     pool.client.refuses = True
-    pool.look(HIGH)
+    pool.report_tail(HIGH)
     pool.client.refuses = False
-    pool.look(HIGH)
+    pool.report_tail(HIGH)
     assert pool.client.ordered == [40, 40]
 
 
-# Figures that are not there yet.
+# Figures that are not available yet.
 
 
 @pytest.mark.parametrize("figure", [0, None])
-def test_filler_is_not_sped_up_by_a_tail_that_was_not_measured(figure):
-    """Users of a lasting task wait too long just after it has begun.
+def test_filler_is_not_sped_up_by_an_unmeasured_tail(figure):
+    """Guards against long response times just after a lasting task has started.
 
-    Its worker had no half second of figures yet, which was taken for a tail of
-    nothing, so that the filler beside it was sped up.
+    Its worker has not measured half a second yet. Taken for a tail of 0, the missing
+    figure would have the filler sped up.
     """
-    pool = Pool(pace_there=20)
-    pool.know_pace(20)
-    pool.look(figure, attempt=2)
+    pool = Pool(actual_pace=20)
+    pool.set_known_pace(20)
+    pool.report_tail(figure, attempt=2)
     assert pool.client.ordered == []
 
 
-def test_filler_is_not_sped_up_by_a_tail_of_less_than_its_time():
-    """A tail that grows in its first half second was taken for a low one."""
-    pool = Pool(pace_there=20)
-    pool.know_pace(20)
-    pool.look(LOW, attempt=2)
+def test_filler_is_not_sped_up_by_an_incomplete_low_tail():
+    """Guards against speeding up by a tail that grows in its first half second."""
+    pool = Pool(actual_pace=20)
+    pool.set_known_pace(20)
+    pool.report_tail(LOW, attempt=2)
     assert pool.client.ordered == []
 
 
-def test_filler_is_slowed_by_a_high_tail_of_less_than_its_time():
-    """What users waited too long for in a part of the time is late in any case."""
-    pool = Pool(pace_there=20)
-    pool.know_pace(20)
-    pool.look(HIGH, attempt=2)
+def test_filler_is_slowed_by_an_incomplete_high_tail():
+    """A tail that is high in part of the interval is also high in the whole."""
+    pool = Pool(actual_pace=20)
+    pool.set_known_pace(20)
+    pool.report_tail(HIGH, attempt=2)
     assert pool.client.ordered == [10]
 
 
-def test_filler_is_left_alone_while_its_worker_tells_no_tail():
-    pool = Pool(pace_there=20)
-    pool.know_pace(20)
-    pool.look(None, looks=4)
+def test_filler_keeps_its_pace_while_its_worker_reports_no_tail():
+    pool = Pool(actual_pace=20)
+    pool.set_known_pace(20)
+    pool.report_tail(None, reports=4)
     assert pool.client.ordered == []
 
 
-def test_filler_is_sped_up_beside_a_task_that_nobody_calls():
-    """A tail of nothing is a true figure once the task was at work for its time."""
-    pool = Pool(pace_there=20)
-    pool.know_pace(20)
-    pool.look(0, looks=12)
-    assert pool.client.pace_there == 100
+def test_filler_is_sped_up_beside_a_serving_task_without_requests():
+    """A tail of 0 is valid once the task has run for the whole interval."""
+    pool = Pool(actual_pace=20)
+    pool.set_known_pace(20)
+    pool.report_tail(0, reports=12)
+    assert pool.client.actual_pace == 100
 
 
-def test_filler_is_slowed_beside_a_high_tail_though_another_is_not_measured():
-    """One task whose tail is not known must not hide that another's is high."""
-    pool = Pool(pace_there=20)
-    pool.know_pace(20)
+def test_filler_is_slowed_beside_a_high_tail_and_an_unmeasured_one():
+    """Guards against ignoring a high tail as another one is unknown."""
+    pool = Pool(actual_pace=20)
+    pool.set_known_pace(20)
     other = TaskKey(ID, 0, 0, 1)
-    pool.look(HIGH, others=[RunReport(other, 1, percent=100, figure=None)])
+    pool.report_tail(HIGH, others=[RunReport(other, 1, percent=100, figure=None)])
     assert pool.client.ordered == [10]
 
 
-def test_filler_is_not_held_down_by_a_lost_order_that_is_carried_out_late():
-    """A filler creeps for good: a lost order was carried out after newer ones."""
-    pool = Pool(pace_there=100)
-    pool.know_pace(20)
+def test_filler_returns_to_full_pace_after_a_delayed_order():
+    """Guards against a filler that stays slow after an out-of-order execution."""
+    pool = Pool(actual_pace=100)
+    pool.set_known_pace(20)
     pool.client.loses_answers = True
-    pool.look(HIGH)
+    pool.report_tail(HIGH)
     pool.client.loses_answers = False
-    late = pool.client.pace_there
-    pool.look(LOW, looks=8)
-    assert pool.client.pace_there == 100
-    pool.client.pace_there = late
-    pool.look(LOW, looks=5)
-    assert pool.client.pace_there == 100
-
-
-def test_orders_are_not_repeated_where_each_had_its_answer():
-    pool = Pool(pace_there=100)
-    pool.know_pace(100)
-    pool.look(LOW, looks=12)
+    late = pool.client.actual_pace
+    pool.report_tail(LOW, reports=8)
+    assert pool.client.actual_pace == 100
+    pool.client.actual_pace = late
+    pool.report_tail(LOW, reports=5)
+    assert pool.client.actual_pace == 100
+
+
+def test_answered_orders_are_not_repeated():
+    pool = Pool(actual_pace=100)
+    pool.set_known_pace(100)
+    pool.report_tail(LOW, reports=12)
     assert pool.client.ordered == []
--- a/tests/pool/test_run_times.py
+++ b/tests/pool/test_run_times.py
@@ -1,4 +1,4 @@
-"""From when a run counts: not from its placing, but from when its order left."""
+"""Run times are measured from the sending of the order, not from the placement."""
 
 import pytest
 
@@ -8,21 +8,21 @@
 from papayapick.pool.reports import StartOutcome
 from tests.pool.owners import ID, job, owner_with, report
 
-# The record of a start takes so long while the store is slow.
+# Time until the record of a start is durable while the store is slow.
 RECORD_SECONDS = 2.0
-# A list is answered, and the next asked for, within this.
-LOOK_SECONDS = 0.05
+# Time between two reports of a worker.
+REPORT_INTERVAL_SECONDS = 0.05
 
 
 class Client:
-    """Carry out each start."""
+    """Confirm each start."""
 
     def start(self, *order):
         return StartOutcome.STARTED
 
 
 class Pool:
-    """Hold an owner whose placed tasks wait for their record."""
+    """Hold an owner whose placed tasks wait until their start records are durable."""
 
     def __init__(self, **step):
         self.host, self.owner = owner_with(job(**step))
@@ -47,26 +47,26 @@
             link = self.owner.links_by_worker[start.run.worker]
             self.owner.orders._start(link, start)
 
-    def list(self, percent, *starts, seconds=LOOK_SECONDS):
-        """Let all workers list their runs after some time."""
+    def list(self, percent, *starts, seconds=REPORT_INTERVAL_SECONDS):
+        """Report the runs of all workers after some time."""
         self.host.clock.advance(seconds)
         for worker in ("w1", "w2"):
             runs = [start.run.name for start in starts if start.run.worker == worker]
             report(self.owner, worker, runs, percent=percent)
 
     def end(self, seconds, *starts):
-        """Let runs end as done after some time."""
+        """Report runs as done after some time."""
         self.host.clock.advance(seconds)
         for worker in ("w1", "w2"):
             runs = [start.run.name for start in starts if start.run.worker == worker]
             report(self.owner, worker, ends=[(*name, "done") for name in runs])
 
 
-def test_run_is_not_stalled_as_its_record_took_long():
-    """Sound runs are stopped just after their start, and their workers used last.
+def test_run_is_not_stalled_after_a_slow_record():
+    """Guards against stopping normal runs just after their start.
 
-    What had waited for its record without moving counted as standing still, 50 ms
-    after its order had left.
+    If the wait for the record counts as time without progress, a run seems to have
+    stalled 50 ms after its order was sent, and its worker is avoided.
     """
     pool = Pool()
     pool.host.clock.advance(RECORD_SECONDS)
@@ -76,8 +76,8 @@
     assert stalled_runs(pool.step) == []
 
 
-def test_run_is_not_slow_as_its_record_took_long():
-    """A run that waited for its record seemed to work at a fraction of the speed."""
+def test_run_is_not_slow_after_a_slow_record():
+    """Guards against adding the wait for the record to the time of a run."""
     pool = Pool(tasks=5)
     first, *quick = pool.starts
     pool.send(*quick)
@@ -89,8 +89,8 @@
     assert slow == []
 
 
-def test_no_copy_is_started_as_a_record_took_long():
-    """Second copies of sound tasks take room from others."""
+def test_no_copy_is_started_after_a_slow_record():
+    """Guards against second copies of normal runs, which take room from others."""
     pool = Pool(allows_copies=True, estimate_seconds=0.6)
     pool.host.clock.advance(RECORD_SECONDS)
     pool.send(*pool.starts)
@@ -100,8 +100,8 @@
     assert stragglers(pool.step, pool.now) == [0]
 
 
-def test_usual_time_of_a_step_is_without_the_wait_for_records():
-    """Slow runs are left alone: what is usual held the wait for records."""
+def test_usual_time_of_a_step_excludes_the_wait_for_records():
+    """Guards against missing slow runs, as the usual time includes that wait."""
     pool = Pool()
     (start,) = pool.starts
     pool.host.clock.advance(RECORD_SECONDS)
@@ -112,8 +112,8 @@
     assert pool.step.done_seconds == pytest.approx([1.0])
 
 
-def test_run_that_has_not_left_has_all_its_work_before_it():
-    """Advice on the next step is asked for too early, and is too old when needed."""
+def test_unsent_run_has_its_whole_estimate_left():
+    """Guards against advice on the next step that is outdated when it is needed."""
     pool = Pool(estimate_seconds=3.0)
     pool.host.clock.advance(RECORD_SECONDS)
     run = pool.starts[0].run
@@ -123,8 +123,8 @@
     assert projected_rest(pool.step, run, pool.now) == pytest.approx(2.5)
 
 
-def test_run_is_not_stalled_before_it_was_listed_twice():
-    """A run that begins late is stopped on the first list that shows it."""
+def test_run_is_not_stalled_until_it_was_listed_twice():
+    """Guards against stopping a run that starts late on the first report of it."""
     pool = Pool()
     pool.send(*pool.starts)
     pool.list(0, *pool.starts, seconds=0.9)
--- a/tests/pool/test_status_feed.py
+++ b/tests/pool/test_status_feed.py
@@ -1,4 +1,4 @@
-"""What callers are told of a job that is over: nothing before it is stored."""
+"""Final statuses are visible to callers only once they are durable."""
 
 import pytest
 
@@ -15,18 +15,18 @@
     return load
 
 
-@pytest.mark.parametrize("is_store_away", [False, True])
-def test_completed_job_is_told_only_when_it_is_stored(load, is_store_away):
-    """The store is away; a job is done, told as completed, and runs again.
+@pytest.mark.parametrize("is_store_unavailable", [False, True])
+def test_completed_status_is_visible_only_when_durable(load, is_store_unavailable):
+    """Guards against a job that runs again after a caller has read "completed".
 
-    Its end stood in the list of its worker only. All hosts lost power before the store
-    was back, and the worker left for good: the next owner knew of no end, and a caller
-    who had read "completed" was charged twice.
+    While the store is unavailable, only the worker lists the end of the job. If all
+    hosts lose power and the worker is removed, the next owner knows of no end, and the
+    caller is charged twice.
     """
     load.run(2.0)
     (job,) = load.owner.book.jobs()
     assert job.status == JobStatus.COMPLETED
-    if is_store_away:
+    if is_store_unavailable:
         load.owner.recording.note_failure()
         assert load.owner.recording.is_announced
     assert load.owner.news.all_states() == {job.identifier: JobStatus.RUNNING}
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("status", [JobStatus.FAILED, JobStatus.CANCELLED])
-def test_other_ends_are_told_only_when_they_are_stored(load, status):
+def test_other_final_statuses_are_visible_only_when_durable(load, status):
     load.owner.recording.note_failure()
     (job,) = load.owner.book.jobs()
     load.owner.book.finish(job, status, load.now)
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: bounded, in time, and without harm to lasting steps."""
+"""Waves of upkeep: limits on machines at once, deadlines, and lasting steps."""
 
 from types import SimpleNamespace
 
@@ -19,27 +19,27 @@
 
 
 class Rows:
-    """Keep rows under conditions; fail as told."""
+    """Store rows under conditions; fail on request."""
 
     def __init__(self):
         self.rows = {}
         self.version = 9
-        self.is_away = False
-        # The next write is applied and its answer lost.
+        self.is_unavailable = False
+        # Whether the next write is applied but its answer is lost.
         self.loses_answer = False
 
     def read(self, table, partition, first="", end="", limit=500, seconds=2.0):
-        if self.is_away:
+        if self.is_unavailable:
             raise TableUnavailable()
         found = [
             row
-            for (where, part, key), row in sorted(self.rows.items())
-            if (where, part) == (table, partition) and key >= first
+            for (row_table, row_partition, key), row in sorted(self.rows.items())
+            if (row_table, row_partition) == (table, partition) and key >= first
         ]
         return Page(found[:limit], self.version, False)
 
     def transact(self, expectations, writes, **options):
-        if self.is_away:
+        if self.is_unavailable:
             raise TableUnavailable()
         for one in expectations:
             row = self.rows.get((one.table, one.partition, one.key))
@@ -60,33 +60,33 @@
 
 
 class Machines:
-    """Carry out orders for upkeep; machines come back with another worker."""
+    """Execute orders for upkeep; machines return with a new worker."""
 
     def __init__(self, load):
         self._load = load
         self._workers = {f"m-{name}": name for name in load.workers}
-        self._until = {}
+        self._upkeep_ends_at = {}
         self.begun = {}
-        # Of machines that are in another pool than the load's.
+        # Pools of the machines that are not in the simulated one.
         self.pools = {}
         self.tokens = []
-        self.most_away = 0
-        self.is_away = False
-        # So many orders are carried out without an answer.
+        self.max_in_upkeep = 0
+        self.is_unavailable = False
+        # Number of orders that are executed without an answer.
         self.answers_to_lose = 0
-        # So many orders have no answer; they are carried out if sent again.
+        # Number of orders without an answer, which are executed once sent again.
         self.orders_to_delay = 0
 
     def fetch(self):
-        if self.is_away:
+        if self.is_unavailable:
             raise CheckFailed(address="machines", status=0)
         return [
             Machine(
                 name,
                 self.pools.get(name, "pool"),
-                not self._is_off(name),
+                not self._is_in_upkeep(name),
                 worker,
-                self._is_off(name),
+                self._is_in_upkeep(name),
             )
             for name, worker in self._workers.items()
         ]
@@ -97,24 +97,26 @@
             self.orders_to_delay -= 1
             return UpkeepOutcome.UNKNOWN
         if machine not in self.begun:
-            if self._is_off(machine):
+            if self._is_in_upkeep(machine):
                 return UpkeepOutcome.BUSY
             self.begun[machine] = self._load.now
-            self._until[machine] = self._load.now + UPKEEP_SECONDS
-            self.most_away = max(self.most_away, sum(map(self._is_off, self._workers)))
+            self._upkeep_ends_at[machine] = self._load.now + UPKEEP_SECONDS
+            self.max_in_upkeep = max(
+                self.max_in_upkeep, sum(map(self._is_in_upkeep, self._workers))
+            )
             self._replace(machine)
         if self.answers_to_lose:
             self.answers_to_lose -= 1
             return UpkeepOutcome.UNKNOWN
         return UpkeepOutcome.BEGUN
 
-    def _is_off(self, machine):
-        return self._load.now < self._until.get(machine, 0.0)
+    def _is_in_upkeep(self, machine):
+        return self._load.now < self._upkeep_ends_at.get(machine, 0.0)
 
     def _replace(self, machine):
-        """End the machine's worker at once, and let a new one join."""
+        """Replace the machine's worker by a new one."""
         load, old = self._load, self._workers[machine]
-        load.ended_there = getattr(load, "ended_there", []) + list(
+        load.interrupted_runs = getattr(load, "interrupted_runs", []) + list(
             load.workers[old].runs
         )
         owner = load.owner
@@ -122,17 +124,17 @@
             link = owner.links_by_worker[old]
             owner.lists.mark_runs_lost(link, "upkeep")
             owner.sources.drop_link(link)
-            del load.workers[old], load._looked_at[old]
+            del load.workers[old], load._polled_at[old]
             new = old + "b"
             row = StoredRow("servers", "", new, _registration(new), 1)
             owner.sources.note_worker_rows([row])
-        load.workers[new], load._looked_at[new] = Worker(new), load.now
-        load._look(load.workers[new])
+        load.workers[new], load._polled_at[new] = Worker(new), load.now
+        load._poll(load.workers[new])
         self._workers[machine] = new
 
 
 class Cell:
-    """A pool under load whose machines have a wave."""
+    """Simulate a pool with a wave of upkeep for its machines."""
 
     def __init__(self, workers=6, length=0.8, at_once=2, seconds=60.0):
         self.load = load = PoolSimulation(workers=workers, length=length)
@@ -162,20 +164,20 @@
         return self.rows.value("status", "", KEY) == {"state": "completed"}
 
 
-def test_all_machines_have_their_upkeep_in_time_and_few_at_once():
+def test_wave_completes_in_time_within_its_limit_of_machines():
     cell = Cell()
     cell.run(0.5)
     assert cell.rows.value("status", "", KEY) == {"state": "running"}
     cell.run(20.0, tasks=4)
     assert cell.is_over
-    assert (len(cell.machines.begun), cell.machines.most_away) == (6, 2)
-    # Short tasks were let to end.
-    assert cell.load.ended_there == []
+    assert (len(cell.machines.begun), cell.machines.max_in_upkeep) == (6, 2)
+    # Short tasks ended by themselves.
+    assert cell.load.interrupted_runs == []
     assert cell.load.stops == 0
 
 
-def test_wave_without_time_stops_what_runs_and_is_in_time():
-    """Tasks take an hour, and the wave is to be over within 20 s."""
+def test_wave_with_a_close_deadline_stops_runs_and_completes_in_time():
+    """Guards against a missed deadline of 20 s as tasks take an hour."""
     cell = Cell(length=3600.0, seconds=20.0)
     cell.load.submit_job(tasks=24)
     cell.load.run(1.0)
@@ -183,15 +185,15 @@
     cell.run(20.0)
     assert cell.is_over
     assert max(cell.machines.begun.values()) - began < 20.0
-    assert cell.load.ended_there == []
+    assert cell.load.interrupted_runs == []
 
 
 @pytest.mark.parametrize("limit", [1, 2])
-def test_lasting_step_never_has_more_tasks_away_than_it_allows(limit):
-    """Each machine has tasks of one lasting step, and half of them have upkeep at once.
+def test_lasting_step_keeps_its_limit_of_unavailable_tasks(limit):
+    """Guards against a service outage during upkeep.
 
-    Ended with their machines, the step would have lost up to half of its tasks at the
-    same time, and its users their service.
+    Each machine runs tasks of one lasting step, and half of the machines may have their
+    upkeep at once. Without moving tasks one by one, up to half of them would be away.
     """
     cell = Cell(at_once=3, length=1.2)
     load = cell.load
@@ -200,19 +202,19 @@
     document = JobDocument("a" * 16, "q", "pool", "t", [step], 0.0)
     load.owner.book.add(document, QUEUE, load.now)
     load.run(3.0)
-    assert _at_work(load) == 6
-    most = 0
+    assert _available(load) == 6
+    max_unavailable = 0
     for _ in range(150):
         cell.upkeep.step(load.host.configuration.waves)
         _make_endless(load)
-        most = max(most, 6 - _at_work(load))
+        max_unavailable = max(max_unavailable, 6 - _available(load))
         load.run(0.5)
     assert cell.is_over
-    assert load.ended_there == []
-    assert most <= limit
+    assert load.interrupted_runs == []
+    assert max_unavailable <= limit
 
 
-def _at_work(load):
+def _available(load):
     return sum(
         run.percent == 100 and run.stop_requested is None
         for room in load.owner.rooms
@@ -225,11 +227,11 @@
         worker.is_endless = True
 
 
-def test_successor_counts_an_order_that_had_no_answer():
-    """An owner orders an upkeep, has no answer, and is replaced.
+def test_successor_counts_an_unanswered_order():
+    """Guards against one machine more in upkeep than the wave allows.
 
-    Its successor did not know of the order; had it ordered as many as the wave
-    allows, one machine too many would have been away.
+    An owner orders an upkeep, gets no answer, and is replaced. Its successor must know
+    of the order before it orders as many as the wave allows.
     """
     cell = Cell(at_once=1)
     cell.machines.answers_to_lose = 1
@@ -240,51 +242,51 @@
     assert len(cell.machines.begun) == 1
     cell.run(30.0)
     assert cell.is_over
-    assert (len(cell.machines.begun), cell.machines.most_away) == (6, 1)
+    assert (len(cell.machines.begun), cell.machines.max_in_upkeep) == (6, 1)
 
 
-def test_order_that_may_still_be_carried_out_counts_as_carried_out():
-    """The same, and the order is on its way still when the successor decides."""
+def test_order_that_may_still_be_executed_counts_as_executed():
+    """Guards against the same while the order is delayed beyond the takeover."""
     cell = Cell(at_once=1)
     cell.machines.orders_to_delay = 1
     cell.run(0.5)
     assert cell.machines.begun == {}
     cell.take_over()
     cell.run(0.5)
-    assert (len(cell.machines.begun), cell.machines.most_away) == (1, 1)
+    assert (len(cell.machines.begun), cell.machines.max_in_upkeep) == (1, 1)
 
 
-def test_nothing_is_ordered_without_its_record():
+def test_no_upkeep_is_ordered_without_a_durable_record():
     cell = Cell()
     cell.run(0.5)
     begun = set(cell.machines.begun)
-    cell.rows.is_away = True
+    cell.rows.is_unavailable = True
     cell.run(5.0)
     assert set(cell.machines.begun) == begun
-    cell.rows.is_away = False
+    cell.rows.is_unavailable = False
     cell.run(20.0)
-    assert cell.is_over and cell.machines.most_away <= 2
+    assert cell.is_over and cell.machines.max_in_upkeep <= 2
 
 
-def test_record_whose_answer_was_lost_is_read_again():
+def test_records_are_read_again_after_a_lost_answer():
     cell = Cell()
     cell.run(0.5)
     cell.rows.loses_answer = True
     cell.run(25.0)
-    assert cell.is_over and cell.machines.most_away <= 2
+    assert cell.is_over and cell.machines.max_in_upkeep <= 2
 
 
-def test_list_of_machines_that_is_away_puts_the_wave_off():
+def test_unavailable_list_of_machines_postpones_the_wave():
     cell = Cell()
-    cell.machines.is_away = True
+    cell.machines.is_unavailable = True
     cell.run(2.0)
     assert cell.machines.begun == {}
-    cell.machines.is_away = False
+    cell.machines.is_unavailable = False
     cell.run(25.0)
     assert cell.is_over
 
 
-def test_wave_that_was_taken_back_opens_its_machines_again():
+def test_withdrawn_wave_makes_its_machines_available_again():
     cell = Cell(length=3600.0)
     cell.load.submit_job(tasks=24)
     cell.load.run(1.0)
@@ -296,7 +298,7 @@
     assert cell.rows.value(WAVES_TABLE, "pool", KEY) is None
 
 
-def test_wave_that_is_over_is_left_alone():
+def test_finished_wave_is_not_started_again():
     cell = Cell()
     cell.run(25.0)
     assert cell.is_over
@@ -307,10 +309,11 @@
 
 
 def test_orders_carry_a_token_that_no_other_pool_has():
-    """Two pools are owned at epoch 3, and a machine has moved from one to the other.
+    """Guards against equal fencing tokens of the owners of two pools.
 
-    Both owners' orders for it carried token 3: the platform can't tell a late one of
-    the owner before from one of the owner of now.
+    Two pools are owned at epoch 3, and a machine has moved from one to the other. With
+    the epoch as the token, the platform can't tell a delayed order of its previous
+    pool's owner from an order of the current one.
     """
     cell = Cell()
     cell.run(1.0)
@@ -318,8 +321,8 @@
     assert cell.load.owner.row.version != cell.load.owner.row.epoch
 
 
-def test_machine_of_a_pool_that_nobody_owns_has_its_upkeep_too():
-    """A wave names a machine that waits in reserve, in a pool without queues."""
+def test_machine_of_a_pool_without_an_owner_has_its_upkeep_too():
+    """Guards against a wave that never ends, as a reserve pool has no queues."""
     cell = Cell()
     cell.machines.pools["m-w3"] = "reserve"
     cell.run(25.0)
@@ -327,12 +330,12 @@
     assert "m-w3" in cell.machines.begun
 
 
-def test_machine_of_another_owner_is_left_to_it():
+def test_machine_of_another_pool_is_left_to_its_owner():
     cell = Cell()
     cell.machines.pools["m-w3"] = "quick"
     cell.load.host.configuration.current.pools = {"pool", "quick"}
     cell.run(25.0)
-    # "quick" comes behind "pool" and has not begun its part.
+    # The pool "quick" comes after "pool" and has not begun its part.
     assert not cell.is_over
     assert set(cell.machines.begun) == {f"m-w{n}" for n in (0, 1, 2, 4, 5)}
     record = {"since": 0.0, "ordered": {}, "begun": ["m-w3"]}
@@ -341,7 +344,7 @@
     assert cell.is_over
 
 
-def test_owner_waits_for_the_pools_before_its_own():
+def test_owner_waits_for_pools_that_come_before_its_own():
     cell = Cell()
     cell.machines.pools["m-w3"] = "a-pool"
     cell.load.host.configuration.current.pools = {"pool", "a-pool"}
@@ -353,17 +356,17 @@
     assert cell.is_over
 
 
-def test_machine_that_is_being_emptied_stays_chosen():
-    """What runs changes while a machine is emptied, and another has less to move.
+def test_machine_that_is_being_drained_stays_chosen():
+    """Guards against draining two machines in turn, so that neither gets empty.
 
-    The other one was taken in its place, and the first took new work again: by turns,
-    neither was ever empty.
+    While a machine is drained, the loads change and another one has less to move. If
+    that one were chosen instead, the first would accept new tasks again.
     """
     machines = {name: Machine(name, "pool", True, "w" + name) for name in ("a", "b")}
     wave, record = Wave(1, ["a", "b"], 60.0, 1), WaveRecord(0.0)
 
-    def choose(loads, emptied=()):
-        return choose_machines(wave, record, machines, bool, loads, emptied)
+    def choose(loads, drained=()):
+        return choose_machines(wave, record, machines, bool, loads, drained)
 
     assert choose({"wa": 1000, "wb": 2000}) == ["a"]
-    assert choose({"wa": 1000, "wb": 0}, emptied={"wa"}) == ["a"]
+    assert choose({"wa": 1000, "wb": 0}, drained={"wa"}) == ["a"]
--- a/tests/pool/test_usefulness.py
+++ b/tests/pool/test_usefulness.py
@@ -1,4 +1,4 @@
-"""Whom it is of use to ask advice for."""
+"""Steps for which a request for advice is useful."""
 
 from papayapick.jobs import AdvicePolicy, Queue, Step
 from papayapick.ledger import Amounts
@@ -21,16 +21,16 @@
     run_until,
 )
 
-# A lasting task counts as away from 6 s after its last run.
+# A lasting task counts as unavailable from 6 s after its last run.
 AWAY_SECONDS = 6.0
 
 
-def test_advice_is_of_no_use_where_no_more_tasks_of_the_step_may_run():
-    """Hosts asked in vain for a step that has all the workers it may have.
+def test_advice_is_useless_for_a_step_with_all_workers_it_may_use():
+    """Guards against needless requests that delay those for steps which can be placed.
 
-    Each of its workers has as many of its tasks as may run together there, and room
-    left, so that its other tasks wait. Its advice aged and was asked for again, nearly
-    a second every three, before the questions of those that could be placed.
+    Each worker runs as many tasks of the step as may run together there, and has room
+    left, so the step's other tasks wait. Renewing its outdated advice took nearly one
+    second of every three.
     """
     host, owner = owner_with(job(tasks=3, tasks_per_worker=1))
     assert len(place(owner)) == 2
@@ -42,11 +42,11 @@
     assert not owner.advising.is_useful(step)
 
 
-def test_lasting_task_has_its_turn_beside_urgent_steps_that_fit_nowhere():
-    """A watcher stays away as long as twenty urgent steps wait for large rooms.
+def test_lasting_task_is_placed_beside_urgent_steps_that_fit_nowhere():
+    """Guards against a lasting task that waits behind twenty urgent steps.
 
-    All workers may run these, each has a core free and they need three. Advice on them
-    was asked for again and again and counted as if they would take all the room.
+    All workers may run the urgent steps, but each has one core free and they need
+    three. Their repeated requests for advice must not count as if they took all room.
     """
     host = AdvisedHost(PEERS, lambda document: QUEUE)
     for number in range(WORKERS):
