--- a/papayapick/pool/events.py
+++ b/papayapick/pool/events.py
@@ -67,7 +67,7 @@
     "silent workers have expired.",
 )
 POOL_LEFT = Event(
-    "pool left", "pool epoch is_lost", "This host no longer owns the pool."
+    "pool left", "pool epoch is_lost", "This host has stopped scheduling the pool."
 )
 POOL_LOST = Event(
     "pool lost",
@@ -137,7 +137,7 @@
 COPY_STARTED = Event(
     "second copy",
     _RUN + " slow_worker slow_seconds usual_seconds",
-    "A second copy of a slow task was started, as its job allows.",
+    "A second copy of a slow task was started, which its step allows.",
 )
 RUN_REPLACED = Event(
     "run replaced",
