--- a/tests/pool/fault_simulation.py
+++ b/tests/pool/fault_simulation.py
@@ -75,6 +75,7 @@
 
     def __init__(self, rng):
         self.done = 0.0
+        # Seconds without the other members of its gang.
         self.alone = 0.0
         self.length = rng.choice([0.05, 0.1, 0.3, 1.0, 2.0])
         self.fails = rng.random() < 0.05
--- a/tests/pool/test_count_age.py
+++ b/tests/pool/test_count_age.py
@@ -24,7 +24,7 @@
 
 
 def test_count_is_true_as_of_the_request_for_the_state(pool):
-    """Guards against a count that seems newer, as reading the state took seconds."""
+    """Guards against a count that seems newer because reading took seconds."""
     host, owner = pool
     confirm(owner)
     assert counted(owner) == (1, 1000.0)
--- a/tests/pool/test_pace.py
+++ b/tests/pool/test_pace.py
@@ -235,7 +235,7 @@
 
 
 def test_filler_is_slowed_beside_a_high_tail_and_an_unmeasured_one():
-    """Guards against ignoring a high tail as another one is unknown."""
+    """Guards against ignoring a high tail because another one is unknown."""
     pool = Pool(actual_pace=20)
     pool.set_known_pace(20)
     other = TaskKey(ID, 0, 0, 1)
--- a/tests/pool/test_run_times.py
+++ b/tests/pool/test_run_times.py
@@ -101,7 +101,7 @@
 
 
 def test_usual_time_of_a_step_excludes_the_wait_for_records():
-    """Guards against missing slow runs, as the usual time includes that wait."""
+    """Guards against missing slow runs because the usual time includes that wait."""
     pool = Pool()
     (start,) = pool.starts
     pool.host.clock.advance(RECORD_SECONDS)
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -177,7 +177,7 @@
 
 
 def test_wave_with_a_close_deadline_stops_runs_and_completes_in_time():
-    """Guards against a missed deadline of 20 s as tasks take an hour."""
+    """Guards against missing a deadline of 20 s because tasks take an hour."""
     cell = Cell(length=3600.0, seconds=20.0)
     cell.load.submit_job(tasks=24)
     cell.load.run(1.0)
@@ -322,7 +322,7 @@
 
 
 def test_machine_of_a_pool_without_an_owner_has_its_upkeep_too():
-    """Guards against a wave that never ends, as a reserve pool has no queues."""
+    """Guards against a wave that never ends as a pool without queues has no owner."""
     cell = Cell()
     cell.machines.pools["m-w3"] = "reserve"
     cell.run(25.0)
