--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -16,21 +16,21 @@
     POOL_TAKEN,
     RECORDING_CHANGED,
 )
-from papayapick.pool.forgetting import forget_jobs
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
 from papayapick.pool.laggards import Laggards
-from papayapick.pool.lists import WorkerLists
-from papayapick.pool.lives import LifeCheck
+from papayapick.pool.liveness import LivenessCheck
 from papayapick.pool.loop import DecisionLoop
 from papayapick.pool.metrics import TAKEOVERS
-from papayapick.pool.news import News
 from papayapick.pool.orders import Orders
 from papayapick.pool.recording import RecordingMode
+from papayapick.pool.report_handler import WorkerReportHandler
+from papayapick.pool.retention import delete_expired_jobs
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.settling import Settling
-from papayapick.pool.sources import Sources
 from papayapick.pool.standing import Standing
-from papayapick.pool.upkeep import Upkeep
+from papayapick.pool.status_feed import StatusFeed
+from papayapick.pool.store_sync import StoreSync
+from papayapick.pool.upkeep import UpkeepCoordinator
 
 __all__ = ["PoolOwner"]
 
@@ -123,12 +123,12 @@
         self.recording = RecordingMode(host.clock)
         self.standing = Standing(host)
         self.settling = Settling(self, is_journal_exact)
-        self.sources = Sources(self)
-        self.lists = WorkerLists(self)
+        self.sources = StoreSync(self)
+        self.lists = WorkerReportHandler(self)
         self.advising = Advising(self)
         self.decisions = Decisions(self)
         self.laggards = Laggards(self)
-        self.news = News(self)
+        self.news = StatusFeed(self)
         self.loop = DecisionLoop(self)
 
     # What it is, and whether it may decide.
@@ -195,8 +195,8 @@
             ):
                 self.submit(name, step)
             if self.host.machines.is_there:
-                self.submit("lives", LifeCheck(self, self.host.machines).run)
-                self.submit("upkeep", Upkeep(self, self.host.machines).run)
+                self.submit("lives", LivenessCheck(self, self.host.machines).run)
+                self.submit("upkeep", UpkeepCoordinator(self, self.host.machines).run)
         TAKEOVERS.inc()
         POOL_TAKEN.write(
             pool=self.pool,
@@ -277,7 +277,7 @@
     def forget_old_jobs(self, now):
         """Let jobs that have been over for long be dropped from store and memory."""
         if not self.is_stopped:
-            self._executor.submit(forget_jobs, self, self.host, now)
+            self._executor.submit(delete_expired_jobs, self, self.host, now)
 
     def note_commit(self, seconds):
         """Take in a commit, or with None one that the store did not take."""
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -13,7 +13,7 @@
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.reports import StartOutcome
 from tests.pool.owners import register, report
-from tests.pool.standins import QUEUE, Host, NoThreads
+from tests.pool.standins import QUEUE, Host, ManualExecutor
 
 PATIENT = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
 # Every order is sent within this on any machine that runs the tests.
@@ -55,7 +55,7 @@
             register(self.host, f"w{number}")
         self.owner = PoolOwner(self.host, PoolRow("pool", "h1", 3, "a:1", 9), True)
         self.owner._executor.shutdown()
-        self.owner._executor = NoThreads()
+        self.owner._executor = ManualExecutor()
         self.owner.sources.load()
         self.clients = {}
         for worker, link in self.owner.links_by_worker.items():
@@ -173,7 +173,7 @@
         for run in runs:
             owner.rooms.get("w0").reserve(run)
             owner.orders.stop_once(run, owner.now())
-        owner.lists.lose_runs(owner.links_by_worker["w0"], "lease over")
+        owner.lists.mark_runs_lost(owner.links_by_worker["w0"], "lease over")
     client = pool.clients["w0"]
     pool.let_go()
     assert not wait_until(lambda: client.stops > len(runs) / 2, NEVER_SECONDS)
--- /dev/null
+++ b/tests/pool/test_status_feed.py
@@ -0,0 +1,44 @@
+"""Final statuses are visible to callers only once they are durable."""
+
+import pytest
+
+from papayapick.jobs.state import JobStatus
+from tests.pool.standins import PoolSimulation
+
+SECONDS = 0.8
+
+
+@pytest.fixture
+def load():
+    load = PoolSimulation(workers=1, length=SECONDS)
+    load.submit_job(tasks=1)
+    return load
+
+
+@pytest.mark.parametrize("is_store_unavailable", [False, True])
+def test_completed_status_is_visible_only_when_durable(load, is_store_unavailable):
+    """Guards against a job that runs again after a caller has read "completed".
+
+    While the store is unavailable, only the worker lists the end of the job. If all
+    hosts lose power and the worker is removed, the next owner knows of no end, and the
+    caller is charged twice.
+    """
+    load.run(2.0)
+    (job,) = load.owner.book.jobs()
+    assert job.status == JobStatus.COMPLETED
+    if is_store_unavailable:
+        load.owner.recording.note_failure()
+        assert load.owner.recording.is_announced
+    assert load.owner.news.all_states() == {job.identifier: JobStatus.RUNNING}
+    assert load.owner.news.take_changes() == {job.identifier: JobStatus.RUNNING}
+    job.durable_status = JobStatus.COMPLETED
+    load.owner.book.news.add(job.identifier)
+    assert load.owner.news.take_changes() == {job.identifier: JobStatus.COMPLETED}
+
+
+@pytest.mark.parametrize("status", [JobStatus.FAILED, JobStatus.CANCELLED])
+def test_other_final_statuses_are_visible_only_when_durable(load, status):
+    load.owner.recording.note_failure()
+    (job,) = load.owner.book.jobs()
+    load.owner.book.finish(job, status, load.now)
+    assert load.owner.news.take_changes() == {job.identifier: JobStatus.RUNNING}
