--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -146,7 +146,7 @@
             room.release(run)
         link.processed = end.number
         ENDS.labels(end.outcome).inc()
-        self._owner.laggards.note_end(step, run, end, room, now)
+        self._owner.run_monitor.note_end(step, run, end, room, now)
         if step is not None and end.outcome != EndOutcome.DONE:
             self._note_end(step, end, run, link.worker, now)
 
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -72,7 +72,7 @@
         for link in owner.links():
             self._tick_link(link, now)
         owner.advising.ask_ahead(now)
-        owner.laggards.replace(now)
+        owner.run_monitor.replace(now)
         owner.decisions.start_copies(now)
         owner.decisions.preempt(now)
         owner.orders.stop_unneeded()
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -18,7 +18,6 @@
 )
 from papayapick.pool.forgetting import forget_jobs
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
-from papayapick.pool.laggards import Laggards
 from papayapick.pool.lists import WorkerLists
 from papayapick.pool.lives import LifeCheck
 from papayapick.pool.loop import DecisionLoop
@@ -27,6 +26,7 @@
 from papayapick.pool.orders import Orders
 from papayapick.pool.recording import RecordingMode
 from papayapick.pool.roster import WorkerRoster
+from papayapick.pool.run_monitor import RunMonitor
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
 from papayapick.pool.standing import Standing
@@ -77,7 +77,6 @@
         "host",
         "is_lost",
         "journal",
-        "laggards",
         "links_by_worker",
         "lists",
         "lock",
@@ -88,6 +87,7 @@
         "rooms",
         "roster",
         "row",
+        "run_monitor",
         "settling",
         "sources",
         "standing",
@@ -127,7 +127,7 @@
         self.lists = WorkerLists(self)
         self.advising = Advising(self)
         self.decisions = Decisions(self)
-        self.laggards = Laggards(self)
+        self.run_monitor = RunMonitor(self)
         self.news = News(self)
         self.loop = DecisionLoop(self)
 
--- a/papayapick/pool/laggards.py
+++ b/papayapick/pool/run_monitor.py
@@ -12,10 +12,10 @@
 from papayapick.pool.events import RUN_REPLACED, WORKER_SUSPECTED
 from papayapick.pool.reports import EndOutcome, run_fields
 
-__all__ = ["Laggards"]
+__all__ = ["RunMonitor"]
 
 
-class Laggards:
+class RunMonitor:
     """Act on what the progress of runs and their ends tell of workers.
 
     Parameters
--- a/papayapick/pool/sources.py
+++ b/papayapick/pool/sources.py
@@ -237,5 +237,5 @@
         del self._owner.links_by_worker[link.worker]
         self._owner.rooms.remove(link.worker)
         self._owner.roster.forget(link.worker)
-        self._owner.laggards.forget(link.worker)
+        self._owner.run_monitor.forget(link.worker)
         WORKER_GONE.write(worker=link.worker)
--- a/papayapick/routing/__init__.py
+++ b/papayapick/routing/__init__.py
@@ -12,7 +12,6 @@
 from papayapick.routing.slots import Grant, SlotClient
 
 __all__ = [
-    "has_moved",
     "Candidate",
     "DeadlineOver",
     "Grant",
@@ -22,4 +21,5 @@
     "PlacerSilent",
     "RoutingError",
     "SlotClient",
+    "has_moved",
 ]
