--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -111,8 +111,8 @@
     __slots__ = (
         "_forgotten_at",
         "_host",
-        "_lock",
         "_missed_since",
+        "_lock",
         "_news",
         "_owner",
         "_peer",
--- a/papayapick/jobs/documents.py
+++ b/papayapick/jobs/documents.py
@@ -68,6 +68,7 @@
     __slots__ = (
         "after",
         "allows_copies",
+        "preferred_rack",
         "demand",
         "estimate_seconds",
         "has_checkpoints",
@@ -77,7 +78,6 @@
         "is_lasting",
         "is_rack_bound",
         "label",
-        "preferred_rack",
         "tail_limit_seconds",
         "tasks",
         "tasks_per_worker",
--- a/papayapick/management/exceptions.py
+++ b/papayapick/management/exceptions.py
@@ -15,10 +15,10 @@
     "OwnerMissing",
     "RequestIdInvalid",
     "RequestNotLogged",
+    "SpanInvalid",
     "RollInterrupted",
     "RollUnsettled",
     "SigningKeyInvalid",
-    "SpanInvalid",
 ]
 
 
--- a/papayapick/placer/shards.py
+++ b/papayapick/placer/shards.py
@@ -30,8 +30,8 @@
     """
 
     __slots__ = (
-        "_clock",
         "_confirmed_pauses",
+        "_clock",
         "_is_closed",
         "_objects",
         "_pauses",
--- a/papayapick/platform/settings.py
+++ b/papayapick/platform/settings.py
@@ -5,7 +5,7 @@
 
 from papayapick.platform.exceptions import PlatformSettingsInvalid
 
-__all__ = ["SETTINGS_VARIABLE", "PlatformSettings"]
+__all__ = ["PlatformSettings", "SETTINGS_VARIABLE"]
 
 SETTINGS_VARIABLE = "PAPAYAPICK_CONFIG"
 
--- a/papayapick/routing/__init__.py
+++ b/papayapick/routing/__init__.py
@@ -12,6 +12,7 @@
 from papayapick.routing.slots import Grant, SlotClient
 
 __all__ = [
+    "has_moved",
     "Candidate",
     "DeadlineOver",
     "Grant",
@@ -21,5 +22,4 @@
     "PlacerSilent",
     "RoutingError",
     "SlotClient",
-    "has_moved",
 ]
