--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -181,7 +181,7 @@
                 )
                 for queue, backlog in backlogs.items()
             ],
-            gives_way=self._owner.standing.gives_way(),
+            gives_way=self._owner.ownership_status.gives_way(),
             may_lack_records=may_lack_records,
             has_read_state=self._owner.has_read_state,
             known_at_milliseconds=self._by_peer_clock(known_at),
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -289,7 +289,7 @@
         self._note_store_answer(asked_at)
         for candidacy in list(self._candidacies.values()):
             if candidacy.is_owner:
-                candidacy.owner.standing.note_confirmed(asked_at)
+                candidacy.owner.ownership_status.note_confirmed(asked_at)
 
     def note_configuration(self, configuration):
         """Watch the pools of a new configuration, and renew queues' policies."""
@@ -327,7 +327,7 @@
             )
             return
         if row.version == owner.row.version:
-            owner.standing.note_confirmed(asked_at)
+            owner.ownership_status.note_confirmed(asked_at)
         else:
             self._candidacies[owner.pool].note_row(row)
 
--- a/papayapick/pool/journal.py
+++ b/papayapick/pool/journal.py
@@ -237,7 +237,7 @@
             self._owner.note_commit(None)
             return False
         self._owner.note_commit(self._clock.monotonic() - asked_at)
-        self._owner.standing.note_confirmed(asked_at)
+        self._owner.ownership_status.note_confirmed(asked_at)
         return True
 
     def _was_own_write(self, rows):
--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -104,7 +104,7 @@
     def note_fenced(self, link):
         """Ask whether the pool was lost: a worker has seen a newer epoch."""
         WORKER_FENCED.write(worker=link.worker, epoch=self._owner.row.epoch)
-        self._owner.standing.doubt()
+        self._owner.ownership_status.invalidate()
         self._owner.host.look_at_owner(self._owner)
 
     def note_rebirth(self, link, born, listed=frozenset()):
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -24,12 +24,12 @@
 from papayapick.pool.metrics import TAKEOVERS
 from papayapick.pool.news import News
 from papayapick.pool.orders import Orders
+from papayapick.pool.ownership_status import OwnershipStatus
 from papayapick.pool.recording import RecordingMode
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.run_monitor import RunMonitor
 from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
-from papayapick.pool.standing import Standing
 from papayapick.pool.upkeep import Upkeep
 
 __all__ = ["PoolOwner"]
@@ -83,6 +83,7 @@
         "loop",
         "news",
         "orders",
+        "ownership_status",
         "recording",
         "rooms",
         "roster",
@@ -90,7 +91,6 @@
         "run_monitor",
         "settling",
         "sources",
-        "standing",
         "stopping",
         "taken_at",
     )
@@ -121,7 +121,7 @@
         )
         self.journal = PoolJournal(host.store, self, host.clock)
         self.recording = RecordingMode(host.clock)
-        self.standing = Standing(host)
+        self.ownership_status = OwnershipStatus(host)
         self.settling = Settling(self, is_journal_exact)
         self.sources = Sources(self)
         self.lists = WorkerLists(self)
@@ -153,7 +153,7 @@
 
     def may_act(self):
         """Return whether orders may be sent."""
-        return not self.is_stopped and self.standing.is_confirmed()
+        return not self.is_stopped and self.ownership_status.is_confirmed()
 
     def may_lack_records(self):
         """Return whether a successor must not trust the records of starts."""
@@ -164,7 +164,7 @@
         if epoch > self.row.epoch:
             self.note_lost()
         else:
-            self.standing.note_peer(peer, asked_at)
+            self.ownership_status.note_peer(peer, asked_at)
 
     def renew_queues(self):
         """Let jobs follow the policies of a new configuration."""
@@ -228,7 +228,7 @@
         Giving the pool up first would leave it without an owner until another host
         has taken it and read its state: 0.1 s as a rule, 3 s with a slow store.
         """
-        self.standing.is_leaving = True
+        self.ownership_status.is_leaving = True
 
     def give_up(self):
         """Commit what is known, stop, and free the pool for another host."""
@@ -287,7 +287,7 @@
         else:
             self.host.store_health.note_failure()
             self.recording.note_failure()
-            self.recording.note_outage(self.standing.is_alone_in_charge())
+            self.recording.note_outage(self.ownership_status.is_store_down_for_all())
         self._note_recording(seconds)
 
     def _note_recording(self, seconds):
--- a/papayapick/pool/standing.py
+++ b/papayapick/pool/ownership_status.py
@@ -1,10 +1,10 @@
 """Judge whether an owner may still decide, or should be replaced."""
 
-__all__ = ["UNCONFIRMED_SECONDS", "Standing"]
+__all__ = ["CONFIRMATION_VALID_SECONDS", "OwnershipStatus"]
 
 # An owner that had no word for so long whether it still owns the pool orders
 # nothing. Leases last longer, so what runs is not lost by a short pause.
-UNCONFIRMED_SECONDS = 2.0
+CONFIRMATION_VALID_SECONDS = 2.0
 # An owner that has just started gives way to a host that is so much larger: the first
 # one to start is not the best, and later the largest is first to notice.
 _LARGER_FACTOR = 1.5
@@ -16,7 +16,7 @@
 _STORE_MARGIN_SECONDS = 0.4
 
 
-class Standing:
+class OwnershipStatus:
     """Hold the last word that a pool is still its owner's.
 
     Parameters
@@ -49,9 +49,9 @@
         new owner waits, and this bound makes that wait long enough.
         """
         age = self._host.clock.monotonic() - self._confirmed_at
-        return age < UNCONFIRMED_SECONDS
+        return age < CONFIRMATION_VALID_SECONDS
 
-    def doubt(self):
+    def invalidate(self):
         """Act no more until there is a new word."""
         self._confirmed_at = float("-inf")
 
@@ -62,9 +62,9 @@
         as the store itself would. While the store answers nobody, the owner goes on
         if most hosts are heard: then nobody can take over either.
         """
-        if peer.store_age < UNCONFIRMED_SECONDS:
+        if peer.store_age < CONFIRMATION_VALID_SECONDS:
             self.note_confirmed(asked_at - peer.store_age)
-        elif self.is_alone_in_charge():
+        elif self.is_store_down_for_all():
             self.note_confirmed(asked_at)
 
     def note_confirmed(self, asked_at):
@@ -103,13 +103,13 @@
         return any(
             peer.region == settings.region
             and peer.processors > _LARGER_FACTOR * settings.processors
-            and peer.store_age < UNCONFIRMED_SECONDS
+            and peer.store_age < CONFIRMATION_VALID_SECONDS
             for peer in self._host.peers.live()
         )
 
-    def is_alone_in_charge(self):
+    def is_store_down_for_all(self):
         """Return whether most hosts are heard, and none of them has the store."""
         peers, live = self._host.peers.all(), self._host.peers.live()
         if 2 * (len(live) + 1) <= len(peers) + 1:
             return False
-        return not any(peer.store_age < UNCONFIRMED_SECONDS for peer in live)
+        return not any(peer.store_age < CONFIRMATION_VALID_SECONDS for peer in live)
--- a/papayapick/pool/settling.py
+++ b/papayapick/pool/settling.py
@@ -3,13 +3,13 @@
 from papayapick.pool.events import POOL_SETTLED
 from papayapick.pool.links import LEASE_SECONDS
 from papayapick.pool.metrics import TAKEOVER_SECONDS
-from papayapick.pool.standing import UNCONFIRMED_SECONDS
+from papayapick.pool.ownership_status import CONFIRMATION_VALID_SECONDS
 
 __all__ = ["QUIET_SECONDS", "Settling"]
 
 # A worker that did not answer a new owner may run what the old one started there
 # until that lease is over.
-QUIET_SECONDS = UNCONFIRMED_SECONDS + LEASE_SECONDS / 0.98
+QUIET_SECONDS = CONFIRMATION_VALID_SECONDS + LEASE_SECONDS / 0.98
 # What was found at the workers is recorded so long after the last of them answered.
 _RECORDED_SECONDS = 1.0
 
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -103,7 +103,7 @@
                 self._advance(key, machines)
         except (CheckFailed, TableUnavailable, ConditionFailed) as error:
             # Tried again at the next step, from what is stored: an order may leave only
-            # once its record is sure. A newer owner is met by the standing.
+            # once its record is sure. A newer owner is met by the ownership status.
             self._is_unsure = True
             WAVE_PUT_OFF.write(pool=self._owner.pool, error=str(error))
 
@@ -244,7 +244,7 @@
             return
         UPKEEP_NOT_BEGUN.write(**fields, reason=outcome.value)
         if outcome == UpkeepOutcome.FENCED:
-            owner.standing.doubt()
+            owner.ownership_status.invalidate()
             owner.host.look_at_owner(owner)
 
     def _write_record(self, key, record):
--- a/tests/entry/test_answers.py
+++ b/tests/entry/test_answers.py
@@ -10,7 +10,7 @@
 from papayapick.entry.candidacy import Candidacy
 from papayapick.entry.store_health import StoreHealth
 from papayapick.ownership.pools import PoolRow
-from papayapick.pool.standing import UNCONFIRMED_SECONDS
+from papayapick.pool.ownership_status import CONFIRMATION_VALID_SECONDS
 from papayapick.wire.messages import PoolBeat
 
 
@@ -41,7 +41,7 @@
 
 def _confirms(answer, epoch):
     """Return whether an owner goes on by an answer."""
-    is_fresh = answer.store_age_milliseconds / 1000 < UNCONFIRMED_SECONDS
+    is_fresh = answer.store_age_milliseconds / 1000 < CONFIRMATION_VALID_SECONDS
     return is_fresh and answer.epoch <= epoch
 
 
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -98,7 +98,7 @@
         """Let the feed of jobs be answered, and the ownership be confirmed."""
         now = self.host.clock.monotonic()
         self.owner.sources._note_complete(now)
-        self.owner.standing.note_confirmed(now)
+        self.owner.ownership_status.note_confirmed(now)
 
     def beat(self):
         self.line._beat()
@@ -166,7 +166,7 @@
     owning.beat()
     for _ in range(11):
         owning.advance(0.2)
-        owning.owner.standing.note_confirmed(owning.host.clock.monotonic())
+        owning.owner.ownership_status.note_confirmed(owning.host.clock.monotonic())
         owning.beat()
     assert count(host)[0] == "503 Service Unavailable"
     owning.note_all_taken_in()
--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -64,7 +64,7 @@
         news=SimpleNamespace(all_states=dict, backlogs=dict, known_at=None),
         may_lack_records=lambda: False,
         has_read_state=True,
-        standing=SimpleNamespace(gives_way=lambda: False),
+        ownership_status=SimpleNamespace(gives_way=lambda: False),
         recording=SimpleNamespace(note_told=lambda name, told: None),
         note_peer=lambda peer, epoch, asked_at: None,
         lock=threading.RLock(),
--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -439,7 +439,7 @@
         for worker in self._workers.values():
             if worker.is_up:
                 worker.work(STEP_SECONDS)
-        self._owner.standing.note_confirmed(self.now)
+        self._owner.ownership_status.note_confirmed(self.now)
         for name, link in self._owner.links_by_worker.items():
             if self.now >= self._asks_at[name]:
                 self._asks_at[name] = self.now + self._ask(link)
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -191,7 +191,7 @@
             self.host.clock.advance(self.STEP_SECONDS)
             self._work()
             with self.owner.lock:
-                self.owner.standing.note_confirmed(self.now)
+                self.owner.ownership_status.note_confirmed(self.now)
                 self.owner.tick(self.now)
                 self.owner.decisions.place(self.now)
             self._carry_out()
--- a/tests/pool/takeovers.py
+++ b/tests/pool/takeovers.py
@@ -89,7 +89,7 @@
             host.hear_peers()
         host.advise()
         with owner.lock:
-            owner.standing.note_confirmed(now)
+            owner.ownership_status.note_confirmed(now)
             owner.tick(now)
             owner.decisions.place(now)
         host.clock.advance(0.05)
--- a/tests/pool/test_count_age.py
+++ b/tests/pool/test_count_age.py
@@ -13,7 +13,7 @@
 
 
 def confirm(owner):
-    owner.standing.note_confirmed(owner.now())
+    owner.ownership_status.note_confirmed(owner.now())
 
 
 def counted(owner):
@@ -57,7 +57,7 @@
     host.clock.advance(1.0)
     owner.sources._note_complete(owner.now())
     assert counted(owner) == (1, 1000.0)
-    owner.standing.doubt()
+    owner.ownership_status.invalidate()
     assert counted(owner) == (1, None)
 
 
--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -76,7 +76,7 @@
         version = store.apply([], [RowWrite(CELL_TABLE, "pool", "owner", {})])
         self.row = PoolRow("pool", "h1", 1, "a:1", version)
         self.pool = "pool"
-        self.decisions = self.standing = self
+        self.decisions = self.ownership_status = self
         self.sent = []
         self.unsent = []
         self.is_lost = self.is_stopped = False
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -148,7 +148,7 @@
     for _ in range(5):
         pool.host.clock.advance(0.5)
         with owner.lock:
-            owner.standing.note_confirmed(owner.now())
+            owner.ownership_status.note_confirmed(owner.now())
             owner.tick(owner.now())
     client = pool.clients["w0"]
     assert wait_until(lambda: client.stops)
--- a/tests/pool/test_standing.py
+++ b/tests/pool/test_ownership_status.py
@@ -27,14 +27,14 @@
     """Nobody decides while the store is down for all: the owner had given way."""
     owner = owner_of(host)
     now = host.clock.monotonic()
-    assert not owner.standing.gives_way()
+    assert not owner.ownership_status.gives_way()
     host.lost_since = now - 1.0
     host.live_peers = [FakePeer(now, 1000.0)]
-    assert not owner.standing.gives_way()
+    assert not owner.ownership_status.gives_way()
     host.live_peers = [FakePeer(now, 0.9)]
-    assert not owner.standing.gives_way()
+    assert not owner.ownership_status.gives_way()
     host.live_peers = [FakePeer(now, 0.2)]
-    assert owner.standing.gives_way()
+    assert owner.ownership_status.gives_way()
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     peer = FakePeer(host.clock.monotonic(), store_age, processors)
     peer.region = region
     host.live_peers = [peer]
-    assert owner.standing.gives_way() is gives_way
+    assert owner.ownership_status.gives_way() is gives_way
 
 
 def test_owner_that_heard_nothing_for_long_orders_nothing(host):
@@ -66,7 +66,7 @@
     assert owner.may_act()
     host.clock.advance(2.1)
     assert not owner.may_act()
-    owner.standing.note_confirmed(host.clock.monotonic() - 0.1)
+    owner.ownership_status.note_confirmed(host.clock.monotonic() - 0.1)
     assert owner.may_act()
 
 
@@ -78,6 +78,6 @@
     """
     owner = owner_of(host)
     owner.leave()
-    assert owner.standing.gives_way()
+    assert owner.ownership_status.gives_way()
     assert owner.may_act()
     assert not owner.is_stopped
--- a/tests/pool/test_run_times.py
+++ b/tests/pool/test_run_times.py
@@ -43,7 +43,7 @@
 
     def send(self, *starts):
         for start in starts:
-            self.owner.standing.note_confirmed(self.now)
+            self.owner.ownership_status.note_confirmed(self.now)
             link = self.owner.links_by_worker[start.run.worker]
             self.owner.orders._start(link, start)
 
--- a/tests/pool/test_settling.py
+++ b/tests/pool/test_settling.py
@@ -30,7 +30,7 @@
     for _ in range(round(seconds / 0.1)):
         host.clock.advance(0.1)
         with owner.lock:
-            owner.standing.note_confirmed(host.clock.monotonic())
+            owner.ownership_status.note_confirmed(host.clock.monotonic())
             owner.tick(host.clock.monotonic())
         for worker in workers:
             report(owner, worker)
