--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -12,8 +12,8 @@
     WORKER_FENCED,
 )
 from papayapick.pool.metrics import ENDS
+from papayapick.pool.reconciliation import PREDECESSOR_LEASE_SECONDS
 from papayapick.pool.reports import EndOutcome, run_fields
-from papayapick.pool.settling import QUIET_SECONDS
 
 __all__ = ["WorkerLists"]
 
@@ -73,8 +73,10 @@
             if not link.is_inventoried:
                 link.is_inventoried = True
                 # What an earlier owner started there is under a lease that it gave.
-                link.lapse_at = max(link.lapse_at, self._owner.taken_at + QUIET_SECONDS)
-                self._owner.settling.note_inventory(now)
+                link.lapse_at = max(
+                    link.lapse_at, self._owner.taken_at + PREDECESSOR_LEASE_SECONDS
+                )
+                self._owner.reconciliation.release_safe_tasks(now)
             self.open_or_close(link)
             if not report.has_more_ends:
                 self._drop_stopped(room, report, asked_at, now)
@@ -122,7 +124,9 @@
             self._lose(link, "began anew", lambda run: run.name not in listed)
             link.begin_life(born)
             if not link.is_inventoried:
-                self._owner.settling.note_gone(link.worker, self._owner.now())
+                self._owner.reconciliation.note_worker_gone(
+                    link.worker, self._owner.now()
+                )
         self._owner.wake()
 
     def open_or_close(self, link):
--- a/papayapick/pool/lives.py
+++ b/papayapick/pool/lives.py
@@ -67,7 +67,7 @@
         if link.is_inventoried:
             self._owner.lists.lose_seen_runs(link)
         else:
-            self._owner.settling.note_gone(link.worker, self._owner.now())
+            self._owner.reconciliation.note_worker_gone(link.worker, self._owner.now())
 
     def _silent_links(self):
         with self._owner.lock:
@@ -86,7 +86,7 @@
     def _is_of_interest(self, link):
         """Return whether something may run on a worker that does not answer."""
         if not link.is_inventoried:
-            return self._owner.settling.waits_for(link.worker)
+            return self._owner.reconciliation.waits_for(link.worker)
         runs = self._owner.rooms.get(link.worker).runs.values()
         return any(run.has_begun for run in runs)
 
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -1,7 +1,7 @@
 """Decide again and again, as reports of workers come and as time passes."""
 
 from papayapick.jobs import RunPhase
-from papayapick.pool.settling import QUIET_SECONDS
+from papayapick.pool.reconciliation import PREDECESSOR_LEASE_SECONDS
 
 __all__ = ["DecisionLoop"]
 
@@ -68,7 +68,7 @@
         """Do what is due by time; the caller holds the lock."""
         owner = self._owner
         owner.book.open_due(owner.host.clock.time(), now)
-        owner.settling.note_inventory(now)
+        owner.reconciliation.release_safe_tasks(now)
         for link in owner.links():
             self._tick_link(link, now)
         owner.advising.ask_ahead(now)
@@ -84,7 +84,7 @@
         owner = self._owner
         if link.is_silent and now > max(link.lapse_at, self._lapse_floor(link)):
             owner.lists.lose_runs(link, "lease over")
-            if not link.is_listed and owner.settling.is_settled:
+            if not link.is_listed and owner.reconciliation.is_complete:
                 owner.sources.drop_link(link)
             return
         for run in list(owner.rooms.get(link.worker).runs.values()):
@@ -92,7 +92,11 @@
 
     def _lapse_floor(self, link):
         # What an earlier owner started there is under a lease that it gave.
-        return 0.0 if link.is_inventoried else self._owner.taken_at + QUIET_SECONDS
+        return (
+            0.0
+            if link.is_inventoried
+            else self._owner.taken_at + PREDECESSOR_LEASE_SECONDS
+        )
 
     def _tick_run(self, link, run, now):
         if run.phase == RunPhase.UNSURE:
--- a/papayapick/pool/news.py
+++ b/papayapick/pool/news.py
@@ -79,7 +79,7 @@
         without records counts jobs that may run at a worker not heard yet.
         """
         owner = self._owner
-        if not (owner.has_read_state and owner.settling.knows_starts):
+        if not (owner.has_read_state and owner.reconciliation.knows_starts):
             return None
         known_at = min(owner.sources.complete_at, owner.ownership_status.confirmed_at)
         return None if math.isinf(known_at) else known_at
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -25,10 +25,10 @@
 from papayapick.pool.news import News
 from papayapick.pool.orders import Orders
 from papayapick.pool.ownership_status import OwnershipStatus
+from papayapick.pool.reconciliation import Reconciliation
 from papayapick.pool.recording import RecordingMode
 from papayapick.pool.roster import WorkerRoster
 from papayapick.pool.run_monitor import RunMonitor
-from papayapick.pool.settling import Settling
 from papayapick.pool.sources import Sources
 from papayapick.pool.upkeep import Upkeep
 
@@ -84,12 +84,12 @@
         "news",
         "orders",
         "ownership_status",
+        "reconciliation",
         "recording",
         "rooms",
         "roster",
         "row",
         "run_monitor",
-        "settling",
         "sources",
         "stopping",
         "taken_at",
@@ -122,7 +122,7 @@
         self.journal = PoolJournal(host.store, self, host.clock)
         self.recording = RecordingMode(host.clock)
         self.ownership_status = OwnershipStatus(host)
-        self.settling = Settling(self, is_journal_exact)
+        self.reconciliation = Reconciliation(self, is_journal_exact)
         self.sources = Sources(self)
         self.lists = WorkerLists(self)
         self.advising = Advising(self)
@@ -157,7 +157,7 @@
 
     def may_lack_records(self):
         """Return whether a successor must not trust the records of starts."""
-        return self.recording.is_announced or self.settling.may_lack_records()
+        return self.recording.is_announced or self.reconciliation.may_lack_records()
 
     def note_peer(self, peer, epoch, asked_at):
         """Take in the answer of another host to a beat."""
@@ -203,7 +203,7 @@
             epoch=self.row.epoch,
             jobs=len(self.book.jobs()),
             workers=len(self.links_by_worker),
-            is_journal_exact=self.settling.is_journal_exact,
+            is_journal_exact=self.reconciliation.is_journal_exact,
             seconds=round(self.now() - self.taken_at, 3),
         )
 
--- a/papayapick/pool/settling.py
+++ b/papayapick/pool/reconciliation.py
@@ -5,16 +5,16 @@
 from papayapick.pool.metrics import TAKEOVER_SECONDS
 from papayapick.pool.ownership_status import CONFIRMATION_VALID_SECONDS
 
-__all__ = ["QUIET_SECONDS", "Settling"]
+__all__ = ["PREDECESSOR_LEASE_SECONDS", "Reconciliation"]
 
 # A worker that did not answer a new owner may run what the old one started there
 # until that lease is over.
-QUIET_SECONDS = CONFIRMATION_VALID_SECONDS + LEASE_SECONDS / 0.98
+PREDECESSOR_LEASE_SECONDS = CONFIRMATION_VALID_SECONDS + LEASE_SECONDS / 0.98
 # What was found at the workers is recorded so long after the last of them answered.
 _RECORDED_SECONDS = 1.0
 
 
-class Settling:
+class Reconciliation:
     """Keep back tasks that may run unseen, until that is known.
 
     Parameters
@@ -24,13 +24,19 @@
         Whether each start of before is known to have been recorded.
     """
 
-    __slots__ = ("_gone", "_is_journal_exact", "_is_settled", "_owner", "_settled_at")
+    __slots__ = (
+        "_completed_at",
+        "_gone",
+        "_is_complete",
+        "_is_journal_exact",
+        "_owner",
+    )
 
     def __init__(self, owner, is_journal_exact):
         self._owner = owner
         self._is_journal_exact = is_journal_exact
-        self._is_settled = False
-        self._settled_at = None
+        self._is_complete = False
+        self._completed_at = None
         # Workers that have crashed or left, as the list of machines tells.
         self._gone = set()
 
@@ -40,16 +46,16 @@
         return self._is_journal_exact
 
     @property
-    def is_settled(self):
+    def is_complete(self):
         """Return whether it is known where all tasks of before run."""
-        return self._is_settled
+        return self._is_complete
 
     @property
     def knows_starts(self):
         """Return whether it is known of each job of before that it has begun."""
-        return self._is_journal_exact or self._is_settled
+        return self._is_journal_exact or self._is_complete
 
-    def begin(self):
+    def hold_tasks(self):
         """Keep back what may run unseen.
 
         Exact journals name the worker of each start before it is ordered; without
@@ -61,34 +67,34 @@
 
     def waits_for(self, worker):
         """Return whether tasks are kept back for a worker that has not answered."""
-        return not self._is_settled and worker not in self._gone
+        return not self._is_complete and worker not in self._gone
 
-    def note_gone(self, worker, now):
+    def note_worker_gone(self, worker, now):
         """Keep nothing back for a worker that has crashed or left.
 
         Waited for as if it were cut off, it had all tasks of before stand still for
         the longest lease that it may have, beside workers that are free.
         """
         self._gone.add(worker)
-        self.note_inventory(now)
+        self.release_safe_tasks(now)
 
-    def note_inventory(self, now):
+    def release_safe_tasks(self, now):
         """Let go what no worker that is still silent can run."""
-        if self._is_settled:
+        if self._is_complete:
             return
         silent = sorted(
             link.worker
             for link in self._owner.links_by_worker.values()
             if not (link.is_inventoried or link.worker in self._gone)
         )
-        is_over = now > self._owner.taken_at + QUIET_SECONDS
+        is_over = now > self._owner.taken_at + PREDECESSOR_LEASE_SECONDS
         self._owner.book.let_go(
             lambda task: is_over or self._is_clear(task, bool(silent)), now
         )
         if is_over or not (silent or self._owner.book.has_held):
             self._owner.book.let_all_go(now)
-            self._is_settled = True
-            self._settled_at = now
+            self._is_complete = True
+            self._completed_at = now
             TAKEOVER_SECONDS.observe(now - self._owner.taken_at)
             POOL_SETTLED.write(
                 pool=self._owner.pool,
@@ -124,6 +130,6 @@
         """
         if self._is_journal_exact:
             return False
-        if self._settled_at is None:
+        if self._completed_at is None:
             return True
-        return self._owner.now() - self._settled_at < _RECORDED_SECONDS
+        return self._owner.now() - self._completed_at < _RECORDED_SECONDS
--- a/papayapick/pool/sources.py
+++ b/papayapick/pool/sources.py
@@ -92,7 +92,7 @@
             for registration in self._owner.roster.restore(progress):
                 if registration.worker not in self._owner.links_by_worker:
                     self._add_link(registration, is_listed=False)
-            self._owner.settling.begin()
+            self._owner.reconciliation.hold_tasks()
         return version
 
     def _read_jobs(self):
--- a/tests/pool/test_count_age.py
+++ b/tests/pool/test_count_age.py
@@ -87,8 +87,8 @@
     owner = owner_of(host, is_journal_exact=False)
     owner.has_read_state = True
     report(owner, "w1")
-    owner.settling.note_inventory(owner.now())
+    owner.reconciliation.release_safe_tasks(owner.now())
     assert counted(owner)[1] is None
     report(owner, "w2")
-    owner.settling.note_inventory(owner.now())
+    owner.reconciliation.release_safe_tasks(owner.now())
     assert counted(owner)[1] == 1000.0
--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -125,7 +125,7 @@
     owner = _taken_over(recorded_at, is_journal_exact)
     LifeCheck(owner, Machines("w1", "")).look()
     assert [run.worker for run in place(owner)] == ["w1"]
-    assert owner.settling.is_settled
+    assert owner.reconciliation.is_complete
 
 
 def test_new_owner_waits_for_a_worker_that_is_cut_off():
@@ -133,7 +133,7 @@
     owner = _taken_over("w2", is_journal_exact=False)
     LifeCheck(owner, Machines("w1", "w2")).look()
     assert place(owner) == []
-    assert not owner.settling.is_settled
+    assert not owner.reconciliation.is_complete
 
 
 def test_new_owner_reads_no_machines_once_it_knows_all_workers():
--- a/tests/pool/test_owner.py
+++ b/tests/pool/test_owner.py
@@ -68,7 +68,7 @@
     report(owner, "w2")
     assert waiting_tasks(owner) == 0
     host.clock.advance(6.0)
-    owner.settling.note_inventory(host.clock.monotonic())
+    owner.reconciliation.release_safe_tasks(host.clock.monotonic())
     assert waiting_tasks(owner) == 1
 
 
