--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -30,7 +30,7 @@
     load = Replay(workers=workers, length=1.0)
     owner = load.owner
     owner.host.queue_of = lambda document: QUEUE
-    owner.advising._book._ask = lambda key, names, expected: None
+    owner.advice_manager._cache._ask = lambda key, names, expected: None
     for _ in range(steps):
         load.hand_in(tasks=TASKS, estimate=1.0, queue=QUEUE)
     names = list(load.workers)
@@ -50,9 +50,9 @@
 
 
 def _advise(owner, step, names, now):
-    owner.advising.ask(step, owner.now())
+    owner.advice_manager.request(step, owner.now())
     tickets = dict.fromkeys(names, "t")
-    owner.advising._book.note_answer(step.key, tickets, QUEUE.advice, now)
+    owner.advice_manager._cache.note_answer(step.key, tickets, QUEUE.advice, now)
 
 
 def _milliseconds(step, now):
--- a/papayapick/pool/advice.py
+++ b/papayapick/pool/advice_cache.py
@@ -1,6 +1,6 @@
 """Keep advice on which workers may run a step, asked ahead of need."""
 
-__all__ = ["AdviceBook", "AdviceStatus"]
+__all__ = ["AdviceCache", "AdviceStatus"]
 
 # A ticket is used only if it is valid so much longer: an order over the link
 # between regions takes up to 50 ms, and may wait for a thread.
@@ -60,7 +60,7 @@
         self.is_lost = is_lost
 
 
-class AdviceBook:
+class AdviceCache:
     """Hold advice by step; its caller holds the owner's lock.
 
     Parameters
@@ -129,7 +129,7 @@
             is_lost=bool(advice.asked) and now >= advice.lost_at,
         )
 
-    def want(self, key, policy, candidates, now):
+    def request(self, key, policy, candidates, now):
         """Ask for advice on a step unless that is under way.
 
         Parameters
--- a/papayapick/pool/advising.py
+++ b/papayapick/pool/advice_manager.py
@@ -1,11 +1,11 @@
 """Ask for advice on steps, ahead of need, through the hosts that have time."""
 
 from papayapick.placement.progress import projected_rest
-from papayapick.pool.advice import AdviceBook
+from papayapick.pool.advice_cache import AdviceCache
 from papayapick.pool.events import ADVICE_LOST, NO_ADVICE
 from papayapick.pool.exceptions import AdviceNotNeeded
 
-__all__ = ["Advising"]
+__all__ = ["AdviceManager"]
 
 # An order is sent and carried out within this time of the decision.
 _AHEAD_SECONDS = 0.3
@@ -16,7 +16,7 @@
 _ASKED_AHEAD_SECONDS = 1.0
 
 
-class Advising:
+class AdviceManager:
     """Want advice where it can be used, and take in the answers.
 
     Parameters
@@ -25,46 +25,46 @@
 
     Attributes
     ----------
-    is_short : bool
+    is_saturated : bool
         More steps wait for advice than the pool has room for: a new one waits for
         its turn.
     """
 
-    __slots__ = ("_book", "_owner", "is_short")
+    __slots__ = ("_cache", "_owner", "is_saturated")
 
     def __init__(self, owner):
         self._owner = owner
-        self._book = AdviceBook(self._ask)
-        self.is_short = False
+        self._cache = AdviceCache(self._ask)
+        self.is_saturated = False
 
     def tickets(self, step, now):
         """Return the valid tickets of a step by worker, or None."""
-        return self._book.tickets(step.key, step.job.queue.advice, now)
+        return self._cache.tickets(step.key, step.job.queue.advice, now)
 
     def usable_until(self, step):
         """Return when the tickets of a step are too old to be sent."""
-        return self._book.usable_until(step.key)
+        return self._cache.usable_until(step.key)
 
     def drop_ticket(self, run):
         """Forget the ticket of a start that its worker refused for it."""
-        self._book.drop_ticket(run.key.step_key, run.worker)
+        self._cache.drop_ticket(run.key.step_key, run.worker)
 
     def forget(self, identifier):
         """Drop what is known of the steps of a job that is over."""
-        self._book.forget(identifier)
+        self._cache.forget(identifier)
 
-    def want_first(self, job, now):
+    def request_for_job(self, job, now):
         """Ask for advice on the steps of a job that are ready."""
-        if job.is_final or self.is_short:
+        if job.is_final or self.is_saturated:
             return
         for step in job.steps():
             if step.is_ready and not step.is_done:
-                self.want(step, now)
+                self.request_if_useful(step, now)
 
-    def want(self, step, now):
+    def request_if_useful(self, step, now):
         """Ask for advice on a step where it can be used."""
         if step.job.queue.advice is not None and self.is_useful(step):
-            self.ask(step, now)
+            self.request(step, now)
 
     def is_useful(self, step, may_fit=True):
         """Return whether advice on a step can be used now.
@@ -73,15 +73,15 @@
         asked for again only where one of the others can take a task of it. Steps that
         fit nowhere would be asked about for ever, and use up the turns of those behind.
         """
-        if not self._book.is_answered(step.key):
+        if not self._cache.is_answered(step.key):
             return True
         if not may_fit:
             return False
-        return self._owner.rooms.has_free(step, self._book.unfit(step.key))
+        return self._owner.rooms.has_free(step, self._cache.unfit(step.key))
 
     def known_fit(self, step):
         """Return the workers that may run a step by the last answer; may be none."""
-        return self._book.known_fit(step.key)
+        return self._cache.known_fit(step.key)
 
     def renew(self, step, free_in, now):
         """Ask again in time for tickets that will be too old when they are needed.
@@ -100,14 +100,14 @@
         if policy is None:
             return
         expected = policy.expected_seconds(len(self._owner.rooms)) + _AHEAD_SECONDS
-        if free_in < expected and self._book.valid_seconds(step.key, now) < expected:
-            self.ask(step, now)
+        if free_in < expected and self._cache.valid_seconds(step.key, now) < expected:
+            self.request(step, now)
 
     def status(self, step, now):
         """Return how far the advice on a step is."""
-        return self._book.status(step.key, now)
+        return self._cache.status(step.key, now)
 
-    def ask(self, step, now):
+    def request(self, step, now):
         """Ask for advice on a step unless that is under way."""
         status = self.status(step, now)
         if status.is_lost:
@@ -117,7 +117,9 @@
                 step=step.key.step,
                 asked_seconds=round(status.asked_seconds, 3),
             )
-        self._book.want(step.key, step.job.queue.advice, self._candidates(step), now)
+        self._cache.request(
+            step.key, step.job.queue.advice, self._candidates(step), now
+        )
 
     def _candidates(self, step):
         """Return the workers to ask about, those that can take a task soonest first.
@@ -133,7 +135,7 @@
         rooms.sort(key=lambda room: (not room.is_open, -room.processors))
         return [room.worker for room in rooms]
 
-    def ask_ahead(self, now):
+    def prefetch(self, now):
         """Ask for the advice on a step while the one before it is about to end."""
         for job in self._owner.book.live_jobs():
             if job.queue.advice is None:
@@ -149,7 +151,7 @@
                     workers = len(self._owner.rooms)
                     expected = job.queue.advice.expected_seconds(workers)
                     if rest < expected + _AHEAD_SECONDS:
-                        self.want(step, now)
+                        self.request_if_useful(step, now)
 
     @staticmethod
     def _rest_seconds(step, now):
@@ -189,7 +191,7 @@
         with self._owner.lock:
             step = self._owner.book.step_of(key)
             if isinstance(error, AdviceNotNeeded):
-                self._book.note_failure(key, workers)
+                self._cache.note_failure(key, workers)
             elif error is not None:
                 NO_ADVICE.write(
                     request_id=key.job,
@@ -198,11 +200,11 @@
                     workers=len(workers),
                     error=str(error),
                 )
-                self._book.note_failure(key, workers)
+                self._cache.note_failure(key, workers)
             elif step is not None:
                 now = self._owner.now()
                 policy = step.job.queue.advice
-                self._book.note_answer(key, done.result(), policy, now, workers)
+                self._cache.note_answer(key, done.result(), policy, now, workers)
         self._owner.wake()
 
 
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -126,17 +126,17 @@
         for step in order_steps(steps, now):
             allowed = None
             if step.job.queue.advice is not None:
-                allowed = owner.advising.tickets(step, now)
+                allowed = owner.advice_manager.tickets(step, now)
                 if allowed is None:
                     self._wait_for_advice(step, turn)
                     continue
             self._place_step(step, allowed, turn)
-        owner.advising.is_short = turn.lookahead.is_used_up
+        owner.advice_manager.is_saturated = turn.lookahead.is_used_up
         if self._unsent and owner.recording.may_send(owner.host.peers.all()):
             self.send_starts(self.take_unsent())
 
     def _wait_for_advice(self, step, turn):
-        known = self._owner.advising.known_fit(step)
+        known = self._owner.advice_manager.known_fit(step)
         is_held = bool(known) and turn.holds.take(step, known) is not None
         reason = self._ask(step, turn, is_held)
         self._note_wait(step, reason, turn.now)
@@ -147,12 +147,12 @@
         In this order: a step that can't use advice must not keep those behind it from
         being asked about.
         """
-        advising = self._owner.advising
-        if not is_held and not advising.is_useful(step, turn.may_fit(step)):
+        advice_manager = self._owner.advice_manager
+        if not is_held and not advice_manager.is_useful(step, turn.may_fit(step)):
             return WaitReason.NO_FIT
         if not turn.lookahead.takes(step):
             return WaitReason.TURN
-        advising.ask(step, turn.now)
+        advice_manager.request(step, turn.now)
         return WaitReason.ADVICE
 
     def _place_step(self, step, allowed, turn):
@@ -167,7 +167,7 @@
         forgive_stuck(step, turn.now)
         free_in = turn.holds.take(step, allowed)
         if free_in is not None:
-            self._owner.advising.renew(step, free_in, turn.now)
+            self._owner.advice_manager.renew(step, free_in, turn.now)
 
     def _keep_starts(self, step, runs, tickets, is_resumed=True):
         """Keep starts until their record is durable.
@@ -181,7 +181,7 @@
         is_resumed : bool, optional
             Whether they go on from saved progress; a second copy begins anew.
         """
-        usable_until = self._owner.advising.usable_until(step)
+        usable_until = self._owner.advice_manager.usable_until(step)
         payload = step.job.document.payload
         for run in runs:
             checkpoint = step.tasks[run.key.index].checkpoint if is_resumed else ""
@@ -211,7 +211,7 @@
         if waited < _TOLD_WAIT_SECONDS or is_told:
             return
         step.told_wait, step.told_wait_at = reason, now
-        status = self._owner.advising.status(step, now)
+        status = self._owner.advice_manager.status(step, now)
         asked = status.asked_seconds
         STEP_WAITS.write(
             request_id=step.key.job,
@@ -250,9 +250,9 @@
     def _start_copy(self, step, index, now):
         policy, allowed = step.job.queue.advice, None
         if policy is not None:
-            allowed = self._owner.advising.tickets(step, now)
+            allowed = self._owner.advice_manager.tickets(step, now)
             if allowed is None:
-                self._owner.advising.want(step, now)
+                self._owner.advice_manager.request_if_useful(step, now)
                 return
         first = step.tasks[index].runs[0]
         slow = first.worker
@@ -281,7 +281,7 @@
         for step in order_steps(useful, now):
             allowed = None
             if step.job.queue.advice is not None:
-                allowed = self._owner.advising.known_fit(step)
+                allowed = self._owner.advice_manager.known_fit(step)
                 if not allowed:
                     continue
             victims = choose_victims(step, self._owner.rooms, allowed, stoppable)
--- a/papayapick/pool/forgetting.py
+++ b/papayapick/pool/forgetting.py
@@ -50,4 +50,4 @@
     with owner.lock:
         for identifier in old:
             owner.book.forget(identifier)
-            owner.advising.forget(identifier)
+            owner.advice_manager.forget(identifier)
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -71,7 +71,7 @@
         owner.reconciliation.release_safe_tasks(now)
         for link in owner.links():
             self._tick_link(link, now)
-        owner.advising.ask_ahead(now)
+        owner.advice_manager.prefetch(now)
         owner.run_monitor.replace(now)
         owner.decisions.start_copies(now)
         owner.decisions.preempt(now)
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -162,7 +162,7 @@
         )
         room.release(run)
         if outcome == StartOutcome.TICKET_INVALID:
-            self._owner.advising.drop_ticket(run)
+            self._owner.advice_manager.drop_ticket(run)
         elif outcome in (StartOutcome.NO_ROOM, StartOutcome.REFUSED):
             step = self._owner.book.step_of(run.key)
             if step is not None:
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -7,7 +7,7 @@
 from papayapick.jobs import JobBook
 from papayapick.ownership.pools import OwnershipLost, release_pool
 from papayapick.placement.rooms import Rooms
-from papayapick.pool.advising import Advising
+from papayapick.pool.advice_manager import AdviceManager
 from papayapick.pool.decisions import Decisions
 from papayapick.pool.events import (
     POOL_LEFT,
@@ -70,7 +70,7 @@
         "_stop_executor",
         "_wakeup",
         "_was_unrecorded",
-        "advising",
+        "advice_manager",
         "book",
         "decisions",
         "has_read_state",
@@ -125,7 +125,7 @@
         self.reconciliation = Reconciliation(self, is_journal_exact)
         self.sources = Sources(self)
         self.lists = WorkerLists(self)
-        self.advising = Advising(self)
+        self.advice_manager = AdviceManager(self)
         self.decisions = Decisions(self)
         self.run_monitor = RunMonitor(self)
         self.news = News(self)
--- a/papayapick/pool/run_monitor.py
+++ b/papayapick/pool/run_monitor.py
@@ -107,9 +107,9 @@
         """Return whether another worker has room for the task of a run now."""
         allowed = None
         if step.job.queue.advice is not None:
-            allowed = self._owner.advising.tickets(step, now=self._owner.now())
+            allowed = self._owner.advice_manager.tickets(step, now=self._owner.now())
             if allowed is None:
-                self._owner.advising.want(step, self._owner.now())
+                self._owner.advice_manager.request_if_useful(step, self._owner.now())
                 return False
         room = self._owner.rooms.choose(step, run.key.index, allowed)
         return room is not None and not room.is_suspected and room.worker != run.worker
--- a/papayapick/pool/sources.py
+++ b/papayapick/pool/sources.py
@@ -170,7 +170,7 @@
             return
         if not job.is_final:
             self._note_taken(job)
-        self._owner.advising.want_first(job, now)
+        self._owner.advice_manager.request_for_job(job, now)
 
     def _note_taken(self, job):
         JOB_TAKEN.write(
--- a/tests/pool/test_advice_candidates.py
+++ b/tests/pool/test_advice_candidates.py
@@ -49,7 +49,7 @@
 
 def _ask(owner):
     step = owner.book.step_of(StepKey(ID, 0, 0))
-    owner.advising.ask(step, owner.host.clock.monotonic())
+    owner.advice_manager.request(step, owner.host.clock.monotonic())
 
 
 def test_workers_that_are_open_are_asked_about_before_those_that_are_not(owner, asked):
--- a/tests/pool/test_overload.py
+++ b/tests/pool/test_overload.py
@@ -72,7 +72,9 @@
     load = Replay(workers=40, length=SECONDS)
     owner = load.owner
     asked = []
-    owner.advising._book._ask = lambda key, workers, expected: asked.append(key.job)
+    owner.advice_manager._cache._ask = lambda key, workers, expected: asked.append(
+        key.job
+    )
     owner.host.queue_of = lambda document: ADVISED
     for _ in range(200):
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
@@ -80,13 +82,13 @@
     owner.decisions.place(load.now)
     assert asked == sorted(load.handed_in)[: len(asked)]
     assert len(asked) == 42
-    assert owner.advising.is_short
+    assert owner.advice_manager.is_saturated
 
 
 def test_advice_is_asked_at_once_while_there_is_room():
     load = Replay(workers=4, length=SECONDS)
     load.owner.decisions.place(load.now)
-    assert not load.owner.advising.is_short
+    assert not load.owner.advice_manager.is_saturated
 
 
 def test_steps_that_cannot_use_advice_keep_nobody_from_it():
@@ -98,15 +100,19 @@
     load = Replay(workers=8, length=SECONDS)
     owner = load.owner
     asked = []
-    owner.advising._book._ask = lambda key, workers, expected: asked.append(key.job)
+    owner.advice_manager._cache._ask = lambda key, workers, expected: asked.append(
+        key.job
+    )
     for _ in range(20):
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
     full, *others = load.workers
     for step in owner.book.waiting_steps():
-        owner.advising.want(step, load.now)
+        owner.advice_manager.request_if_useful(step, load.now)
         policy = ADVISED.advice
         tickets = {full: "t"}
-        owner.advising._book.note_answer(step.key, tickets, policy, load.now - 60)
+        owner.advice_manager._cache.note_answer(
+            step.key, tickets, policy, load.now - 60
+        )
     owner.rooms.get(full).processors = 0
     load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
     asked.clear()
@@ -131,13 +137,15 @@
     load = Replay(workers=40, length=SECONDS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
-    owner.advising._book._ask = lambda key, workers, expected: None
+    owner.advice_manager._cache._ask = lambda key, workers, expected: None
     for _ in range(400):
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
     for step in owner.book.waiting_steps():
-        owner.advising.ask(step, load.now)
+        owner.advice_manager.request(step, load.now)
         tickets = dict.fromkeys(load.workers, "t")
-        owner.advising._book.note_answer(step.key, tickets, ADVISED.advice, load.now)
+        owner.advice_manager._cache.note_answer(
+            step.key, tickets, ADVISED.advice, load.now
+        )
     owner.decisions.place(load.now)
     looks = []
     owner.rooms = CountedRooms(owner.rooms, looks)
@@ -151,7 +159,7 @@
     load = Replay(workers=40, length=SECONDS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
-    owner.advising._book._ask = lambda key, workers, expected: None
+    owner.advice_manager._cache._ask = lambda key, workers, expected: None
     *others, free = load.workers
     for _ in range(400):
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
@@ -170,9 +178,9 @@
 
 
 def _advise(owner, step, workers, now):
-    owner.advising.ask(step, now)
+    owner.advice_manager.request(step, now)
     tickets = dict.fromkeys(workers, "t")
-    owner.advising._book.note_answer(step.key, tickets, ADVISED.advice, now)
+    owner.advice_manager._cache.note_answer(step.key, tickets, ADVISED.advice, now)
 
 
 class CountedRooms:
--- a/tests/pool/test_preemption.py
+++ b/tests/pool/test_preemption.py
@@ -94,16 +94,16 @@
     load = _full_pool(PATIENT_TASKS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
-    owner.advising._book._ask = lambda key, workers, expected: None
+    owner.advice_manager._cache._ask = lambda key, workers, expected: None
     patient = next(job for job in owner.book.live_jobs() if job.queue is PATIENT)
     places = {run.worker for step in patient.steps() for run in step.active_runs()}
     for _ in range(300):
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
     tickets = dict.fromkeys(set(load.workers) - places, "t")
     for step in owner.book.waiting_steps():
-        owner.advising.ask(step, load.now)
+        owner.advice_manager.request(step, load.now)
         policy = ADVISED.advice
-        owner.advising._book.note_answer(step.key, tickets, policy, load.now)
+        owner.advice_manager._cache.note_answer(step.key, tickets, policy, load.now)
     load.host.clock.advance(1.0)
     runs, workers = _looked_at(load)
     assert load.stops == 0
--- a/tests/pool/test_takeover_advice.py
+++ b/tests/pool/test_takeover_advice.py
@@ -68,9 +68,11 @@
     host, owner = taken_over(at_work=4)
     host.clock.advance(seconds)
     with owner.lock:
-        owner.advising.ask_ahead(host.clock.monotonic())
+        owner.advice_manager.prefetch(host.clock.monotonic())
     next_steps = [owner.book.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(4)]
-    asked = [owner.advising.status(one, host.clock.monotonic()) for one in next_steps]
+    asked = [
+        owner.advice_manager.status(one, host.clock.monotonic()) for one in next_steps
+    ]
     assert [one.asked_seconds for one in asked] == [None] * 4
 
 
@@ -89,7 +91,7 @@
     next_steps = [
         owner.book.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(60)
     ]
-    asked = [owner.advising.status(one, now).asked_seconds for one in next_steps]
+    asked = [owner.advice_manager.status(one, now).asked_seconds for one in next_steps]
     assert sum(one is not None for one in asked) == 0
 
 
@@ -132,7 +134,7 @@
     document = JobDocument(identifier_of(5), "q", "pool", "t", steps, 0.0)
     job = owner.book.add(document, QUEUE, owner.now())
     for step in job.steps():
-        owner.advising.ask(step, owner.now())
+        owner.advice_manager.request(step, owner.now())
     return owner, job, found
 
 
--- a/tests/pool/test_usefulness.py
+++ b/tests/pool/test_usefulness.py
@@ -36,10 +36,12 @@
     assert len(place(owner)) == 2
     (step,) = owner.book.waiting_steps()
     now = host.clock.monotonic()
-    owner.advising._book._ask = lambda key, workers, expected: None
-    owner.advising._book.want(step.key, POLICY, ["w1", "w2"], now)
-    owner.advising._book.note_answer(step.key, {"w1": "t", "w2": "t"}, POLICY, now)
-    assert not owner.advising.is_useful(step)
+    owner.advice_manager._cache._ask = lambda key, workers, expected: None
+    owner.advice_manager._cache.request(step.key, POLICY, ["w1", "w2"], now)
+    owner.advice_manager._cache.note_answer(
+        step.key, {"w1": "t", "w2": "t"}, POLICY, now
+    )
+    assert not owner.advice_manager.is_useful(step)
 
 
 def test_lasting_task_has_its_turn_beside_urgent_steps_that_fit_nowhere():
--- a/tests/pool/test_waits.py
+++ b/tests/pool/test_waits.py
@@ -34,7 +34,7 @@
 
 def load_of(workers=1):
     load = Replay(workers=workers, length=0.8)
-    load.owner.advising._book._ask = lambda key, workers, expected: None
+    load.owner.advice_manager._cache._ask = lambda key, workers, expected: None
     return load
 
 
@@ -77,9 +77,9 @@
     load = load_of(workers=2)
     load.hand_in(tasks=1, queue=ADVISED)
     (step,) = load.owner.book.waiting_steps()
-    load.owner.advising.want(step, load.now)
+    load.owner.advice_manager.request_if_useful(step, load.now)
     # Only the first worker may run it, and it is full.
-    load.owner.advising._book.note_answer(
+    load.owner.advice_manager._cache.note_answer(
         step.key, {"w0": "t"}, ADVISED.advice, load.now
     )
     load.owner.rooms.get("w0").processors = 0
@@ -106,7 +106,7 @@
     place_again(load, 0.5)
     (identifier,) = load.handed_in
     (step,) = load.owner.book.waiting_steps()
-    assert load.owner.advising.status(step, load.now).asked_seconds is not None
+    assert load.owner.advice_manager.status(step, load.now).asked_seconds is not None
     host = SimpleNamespace(
         settings=SimpleNamespace(status_seconds=120.0),
         store=SimpleNamespace(transact=lambda *args, **options: 1),
@@ -117,4 +117,4 @@
         job.durable_status = job.status
     forget_jobs(load.owner, host, load.now + 200.0)
     assert load.owner.book.get(identifier) is None
-    assert load.owner.advising.status(step, load.now).asked_seconds is None
+    assert load.owner.advice_manager.status(step, load.now).asked_seconds is None
