--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -296,7 +296,7 @@
             owner.start()
         except TableUnavailable as error:
             POOL_UNREAD.write(pool=self.pool, epoch=row.epoch, error=str(error))
-            owner.give_up()
+            owner.release()
             return
         self._host.tell(owner)
 
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -138,14 +138,14 @@
 
     def _hand_over(self, owner):
         """Go on as owner until another host has taken the pool."""
-        owner.leave()
+        owner.request_successor()
         # All at the same time: who hears of it first would have the pool before the
         # largest host, which waits for nobody, knows that it is wanted.
         self._lines.beat_now()
         rest = self.settings.grace_seconds - _GRACE_SLACK_SECONDS - _GIVE_UP_SECONDS
         owner.pause(rest)
         if not owner.is_stopped:
-            owner.give_up()
+            owner.release()
 
     def is_ready(self):
         """Return whether this host can accept jobs."""
@@ -301,7 +301,7 @@
                 self.executor.submit(self._run_loop, pool, candidacy.run)
         for candidacy in list(self._candidacies.values()):
             if candidacy.is_owner:
-                candidacy.owner.renew_queues()
+                candidacy.owner.refresh_queues()
 
     def queue_of(self, document):
         """Return the queue of a job; see ``KnownQueues.queue_of``."""
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -78,7 +78,7 @@
         owner.orders.stop_unneeded()
         if now - self._forgotten_at > _FORGET_EVERY_SECONDS:
             self._forgotten_at = now
-            owner.forget_old_jobs(now)
+            owner.remove_old_jobs(now)
 
     def _tick_link(self, link, now):
         owner = self._owner
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -166,7 +166,7 @@
         else:
             self.ownership_status.note_peer(peer, asked_at)
 
-    def renew_queues(self):
+    def refresh_queues(self):
         """Let jobs follow the policies of a new configuration."""
         with self.lock:
             for job in self.book.jobs():
@@ -222,7 +222,7 @@
             self._stop_executor.shutdown(wait=False, cancel_futures=True)
         POOL_LEFT.write(pool=self.pool, epoch=self.row.epoch, is_lost=self.is_lost)
 
-    def leave(self):
+    def request_successor(self):
         """Ask for a successor, and go on until there is one.
 
         Giving the pool up first would leave it without an owner until another host
@@ -230,7 +230,7 @@
         """
         self.ownership_status.is_leaving = True
 
-    def give_up(self):
+    def release(self):
         """Commit what is known, stop, and free the pool for another host."""
         self.journal.commit()
         self.stop()
@@ -257,7 +257,7 @@
             # nothing: another host does better.
             POOL_LOOP_FAILED.write_failure(pool=self.pool, loop=name)
             self.note_lost()
-            self.give_up()
+            self.release()
 
     def submit(self, name, step):
         """Run an endless task; if it fails, the pool is given up."""
@@ -274,7 +274,7 @@
         """Do what is due by time; the caller holds the lock."""
         self.loop.tick(now)
 
-    def forget_old_jobs(self, now):
+    def remove_old_jobs(self, now):
         """Let jobs that have been over for long be dropped from store and memory."""
         if not self.is_stopped:
             self._executor.submit(forget_jobs, self, self.host, now)
--- a/tests/pool/test_ownership_status.py
+++ b/tests/pool/test_ownership_status.py
@@ -77,7 +77,7 @@
     and read its state first.
     """
     owner = owner_of(host)
-    owner.leave()
+    owner.request_successor()
     assert owner.ownership_status.gives_way()
     assert owner.may_act()
     assert not owner.is_stopped
