--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -15,7 +15,7 @@
 )
 from papayapick.ownership.pools import OwnershipLost, PoolRow, read_pool, take_pool
 from papayapick.pool.owner import PoolOwner
-from papayapick.pool.recording import TRUST_SECONDS
+from papayapick.pool.recording import RECORDS_TRUSTED_SECONDS
 from papayapick.pool.sources import check_readable
 
 __all__ = ["Candidacy"]
@@ -281,7 +281,7 @@
     def _trusts_records(self):
         """Return whether each start before now was recorded before its order."""
         age = self._host.clock.monotonic() - self._told_at
-        return not self._may_lack_records and age < TRUST_SECONDS
+        return not self._may_lack_records and age < RECORDS_TRUSTED_SECONDS
 
     def _own(self, row):
         owner = PoolOwner(self._host, row, self._trusts_records())
--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -192,7 +192,7 @@
         except WireError as error:
             self._note_miss(error)
             if isinstance(error, PeerNotListening):
-                self._owner.recording.note_gone(self._peer.name)
+                self._owner.recording.note_host_exit(self._peer.name)
             if not isinstance(error, OSError):
                 self._peer.client.close()
             with self._lock:
@@ -203,7 +203,7 @@
         self._peer.answered_at = self._host.clock.monotonic()
         self._peer.store_age = answer.store_age_milliseconds / 1000
         self._host.advice.note_heard()
-        self._owner.recording.note_told(self._peer.name, may_lack_records)
+        self._owner.recording.note_heartbeat_answer(self._peer.name, may_lack_records)
         self._owner.note_peer(self._peer, answer.epoch, asked_at)
         return True
 
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -332,7 +332,7 @@
             )
             return any(job is not None and job.is_final for job in jobs)
 
-    def put_back_unsent(self, starts):
+    def requeue_unsent(self, starts):
         """Keep starts whose record could not be written."""
         self._unsent = starts + self._unsent
 
--- a/papayapick/pool/journal.py
+++ b/papayapick/pool/journal.py
@@ -141,8 +141,8 @@
         if writes and not self._transact(writes):
             with owner.lock:
                 owner.book.changed.update(job.identifier for job in changed)
-                owner.decisions.put_back_unsent(starts)
-                owner.roster.put_back(roster)
+                owner.decisions.requeue_unsent(starts)
+                owner.roster.requeue(roster)
             owner.pause(_RETRY_SECONDS)
             return True
         # A start is ordered only now: whoever takes over knows where each task may
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -51,7 +51,7 @@
             self.tick(now)
         # What is placed and can't leave holds room until its ticket is too old: the
         # pool would stand still with hardly a task at work.
-        if not self._owner.orders.are_held_up():
+        if not self._owner.orders.is_backlogged():
             self._owner.decisions.place(now)
 
     def _rest_after(self, seconds):
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -88,7 +88,7 @@
         # Runs with a stop that waits for a thread or for its answer.
         self._stops_under_way = set()
 
-    def are_held_up(self):
+    def is_backlogged(self):
         """Return whether as many starts wait for a thread as there are threads.
 
         What is placed then could not leave before calls under way have ended.
--- a/papayapick/pool/recording.py
+++ b/papayapick/pool/recording.py
@@ -11,7 +11,7 @@
 # What was ordered without a record has been recorded this long after the last.
 _AFTER_SECONDS = 1.0
 # A host that was not heard for so long does not trust its word any more.
-TRUST_SECONDS = 2.5
+RECORDS_TRUSTED_SECONDS = 2.5
 _SILENT_SECONDS = 3.0
 
 
@@ -90,7 +90,7 @@
             return False
         return self._clock.monotonic() - self._used_at < _AFTER_SECONDS
 
-    def note_told(self, host, was_announced):
+    def note_heartbeat_answer(self, host, was_announced):
         """Note that a host has answered a beat with or without the announcement."""
         with self._lock:
             self._gone.discard(host)
@@ -99,7 +99,7 @@
             else:
                 self._told.discard(host)
 
-    def note_gone(self, host):
+    def note_host_exit(self, host):
         """Note that the process of a host has ended: it need not be told.
 
         Waited for until it is silent for long, each host that restarts would have all
--- a/papayapick/pool/roster.py
+++ b/papayapick/pool/roster.py
@@ -35,13 +35,13 @@
         self._rows = {}
         self._changed = set()
 
-    def note(self, registration):
+    def add(self, registration):
         """Keep a worker."""
         row = _row_of(registration.worker)
         self._rows.setdefault(row, {})[registration.worker] = _record(registration)
         self._changed.add(row)
 
-    def forget(self, worker):
+    def remove(self, worker):
         """Drop a worker that is gone."""
         row = _row_of(worker)
         if self._rows.get(row, {}).pop(worker, None) is not None:
@@ -55,7 +55,7 @@
             for row in sorted(rows)
         ]
 
-    def put_back(self, writes):
+    def requeue(self, writes):
         """Keep writes for the next commit."""
         self._changed.update(write.key for write in writes)
 
--- a/papayapick/pool/sources.py
+++ b/papayapick/pool/sources.py
@@ -215,7 +215,7 @@
             link.registration.is_leaving = registration.is_leaving
             self._owner.lists.open_or_close(link)
             return
-        self._owner.roster.note(registration)
+        self._owner.roster.add(registration)
         self._add_link(registration, is_listed=True)
 
     def _add_link(self, registration, is_listed):
@@ -236,6 +236,6 @@
         link.stop()
         del self._owner.links_by_worker[link.worker]
         self._owner.rooms.remove(link.worker)
-        self._owner.roster.forget(link.worker)
+        self._owner.roster.remove(link.worker)
         self._owner.run_monitor.forget(link.worker)
         WORKER_GONE.write(worker=link.worker)
--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -65,7 +65,7 @@
         may_lack_records=lambda: False,
         has_read_state=True,
         ownership_status=SimpleNamespace(gives_way=lambda: False),
-        recording=SimpleNamespace(note_told=lambda name, told: None),
+        recording=SimpleNamespace(note_heartbeat_answer=lambda name, told: None),
         note_peer=lambda peer, epoch, asked_at: None,
         lock=threading.RLock(),
     )
--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -88,7 +88,7 @@
         taken, self.unsent = self.unsent, []
         return taken
 
-    def put_back_unsent(self, starts):
+    def requeue_unsent(self, starts):
         self.unsent = starts
 
     def send_starts(self, starts):
@@ -228,7 +228,7 @@
 
 def test_workers_are_kept_for_a_successor(store, owner, journal):
     registration = Registration("w1", "pool", "w1:1", "z", Amounts(1, 2), ("a", "r1-1"))
-    owner.roster.note(registration)
+    owner.roster.add(registration)
     store.script = ["later"]
     journal.commit()
     journal.commit()
@@ -236,7 +236,7 @@
     (found,) = WorkerRoster(PROGRESS_TABLE, "pool").restore(rows)
     assert (found.worker, found.address, found.labels) == ("w1", "w1:1", ("a", "r1-1"))
     assert found.is_leaving
-    owner.roster.forget("w1")
+    owner.roster.remove("w1")
     journal.commit()
     rows = [row for (table, _), row in store.rows.items() if table == PROGRESS_TABLE]
     assert WorkerRoster(PROGRESS_TABLE, "pool").restore(rows) == []
--- a/tests/pool/test_owner.py
+++ b/tests/pool/test_owner.py
@@ -377,7 +377,7 @@
     of no such run, and started the tasks again.
     """
     roster = WorkerRoster(PROGRESS_TABLE, "pool")
-    roster.note(Registration("w9", "pool", "w9:1", "z", Amounts(4000, 4000)))
+    roster.add(Registration("w9", "pool", "w9:1", "z", Amounts(4000, 4000)))
     for write in roster.take_changed():
         host.put(PROGRESS_TABLE, "pool", write.key, write.value)
     store_job(host, job())
--- a/tests/pool/test_recording.py
+++ b/tests/pool/test_recording.py
@@ -27,7 +27,7 @@
 
 def _tell(mode, *names):
     for name in names:
-        mode.note_told(name, mode.is_announced)
+        mode.note_heartbeat_answer(name, mode.is_announced)
 
 
 def test_starts_wait_while_the_store_is_quick(mode):
@@ -107,14 +107,14 @@
     """Guards against starts that wait for a slow store as hosts restart in turn."""
     mode.note_commit(0.3)
     _tell(mode, "h2")
-    mode.note_gone("h3")
+    mode.note_host_exit("h3")
     assert mode.may_send(PEERS)
 
 
 def test_process_that_follows_is_told_before_a_start_leaves(mode):
     """Guards against a successor that trusts records which are not there."""
-    mode.note_gone("h3")
-    mode.note_told("h3", was_announced=False)
+    mode.note_host_exit("h3")
+    mode.note_heartbeat_answer("h3", was_announced=False)
     mode.note_commit(0.3)
     _tell(mode, "h2")
     assert not mode.may_send(PEERS)
