--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -204,7 +204,7 @@
         self._peer.store_age = answer.store_age_milliseconds / 1000
         self._host.advice.note_heard()
         self._owner.recording.note_heartbeat_answer(self._peer.name, may_lack_records)
-        self._owner.note_peer(self._peer, answer.epoch, asked_at)
+        self._owner.note_peer_answer(self._peer, answer.epoch, asked_at)
         return True
 
     def _by_peer_clock(self, moment):
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -22,7 +22,7 @@
     STOPPED_FOR_URGENT,
 )
 from papayapick.pool.metrics import FIRST_START_SECONDS
-from papayapick.pool.orders import Start
+from papayapick.pool.orders import StartOrder
 from papayapick.pool.reports import run_fields
 
 __all__ = ["Decisions", "WaitReason"]
@@ -186,7 +186,9 @@
         for run in runs:
             checkpoint = step.tasks[run.key.index].checkpoint if is_resumed else ""
             ticket = tickets.get(run.worker, "")
-            self._unsent.append(Start(run, payload, checkpoint, ticket, usable_until))
+            self._unsent.append(
+                StartOrder(run, payload, checkpoint, ticket, usable_until)
+            )
 
     def _note_placed(self, step, runs, now):
         step.told_wait = None
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -16,7 +16,7 @@
 from papayapick.pool.metrics import STARTS
 from papayapick.pool.reports import StartOutcome, run_fields
 
-__all__ = ["Orders", "Start"]
+__all__ = ["OrderSender", "StartOrder"]
 
 
 def _logged(send):
@@ -32,7 +32,7 @@
     return run
 
 
-class Start:
+class StartOrder:
     """Hold a start that is to be ordered.
 
     Parameters
@@ -55,7 +55,7 @@
         self.usable_until = usable_until
 
 
-class Orders:
+class OrderSender:
     """Send starts, stops and paces, each as a task of its own.
 
     Parameters
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -23,7 +23,7 @@
 from papayapick.pool.loop import DecisionLoop
 from papayapick.pool.metrics import TAKEOVERS
 from papayapick.pool.news import News
-from papayapick.pool.orders import Orders
+from papayapick.pool.orders import OrderSender
 from papayapick.pool.ownership_status import OwnershipStatus
 from papayapick.pool.reconciliation import Reconciliation
 from papayapick.pool.recording import RecordingMode
@@ -116,7 +116,7 @@
         self._stop_executor = ThreadPoolExecutor(
             _STOP_TASKS, thread_name_prefix="stops"
         )
-        self.orders = Orders(
+        self.orders = OrderSender(
             self, self._order_executor, self._stop_executor, _START_TASKS
         )
         self.journal = PoolJournal(host.store, self, host.clock)
@@ -159,12 +159,12 @@
         """Return whether a successor must not trust the records of starts."""
         return self.recording.is_announced or self.reconciliation.may_lack_records()
 
-    def note_peer(self, peer, epoch, asked_at):
+    def note_peer_answer(self, peer, epoch, asked_at):
         """Take in the answer of another host to a beat."""
         if epoch > self.row.epoch:
             self.note_lost()
         else:
-            self.ownership_status.note_peer(peer, asked_at)
+            self.ownership_status.note_peer_answer(peer, asked_at)
 
     def refresh_queues(self):
         """Let jobs follow the policies of a new configuration."""
--- a/papayapick/pool/ownership_status.py
+++ b/papayapick/pool/ownership_status.py
@@ -55,7 +55,7 @@
         """Act no more until there is a new word."""
         self._confirmed_at = float("-inf")
 
-    def note_peer(self, peer, asked_at):
+    def note_peer_answer(self, peer, asked_at):
         """Take in that a peer knows of no newer owner.
 
         A host that has lately had word from the store confirms this owner as well
--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -66,7 +66,7 @@
         has_read_state=True,
         ownership_status=SimpleNamespace(gives_way=lambda: False),
         recording=SimpleNamespace(note_heartbeat_answer=lambda name, told: None),
-        note_peer=lambda peer, epoch, asked_at: None,
+        note_peer_answer=lambda peer, epoch, asked_at: None,
         lock=threading.RLock(),
     )
     return OwnerLine(host, owner, peer)
