--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -1,4 +1,4 @@
-"""Decide what starts where, what is copied, and what makes room."""
+"""Scheduling decisions: placement, second copies and preemption."""
 
 import enum
 
@@ -28,26 +28,27 @@
 __all__ = ["Decisions", "WaitReason"]
 
 
-# Advice and room are found within this time as a rule; a longer wait is worth a line.
-_TOLD_WAIT_SECONDS = 0.5
-# A log that reaches back some seconds only must still show what a step waits for.
-_TELL_AGAIN_SECONDS = 2.0
+# Steps usually get advice and capacity within this time; a longer wait is logged.
+_LOG_AFTER_SECONDS = 0.5
+# A log that covers only the last few seconds must still show what a step waits for.
+_LOG_AGAIN_SECONDS = 2.0
 
 
 class WaitReason(enum.Enum):
-    """Tell what a ready step waits for."""
+    """What a ready step waits for."""
 
-    # Advice was asked for.
+    # Advice has been requested.
     ADVICE = "advice"
-    # Steps before it use up the room for which advice is asked.
+    # Steps ahead of it use up the capacity for which advice is requested.
     TURN = "turn"
-    # No worker that may run it has room: advice would age unused.
+    # No worker that may run it has capacity: advice would expire unused.
     NO_FIT = "no-fit"
+    # No worker that may run it has capacity left in this round.
     ROOM = "room"
 
 
-class _Round:
-    """Hold what one round of placing has left to give."""
+class _PlacementRound:
+    """Hold the capacity that is left during one round of placement."""
 
     __slots__ = ("_most_free", "_roomy", "holds", "lookahead", "now")
 
@@ -55,7 +56,7 @@
         self.now = now
         self.lookahead = Lookahead(owner.rooms)
         self.holds = Holds(owner.rooms, owner.book.step_of, now)
-        # As the round begins; there is less as it goes on.
+        # At the start of the round: an upper bound for the rest of it.
         self._most_free = owner.rooms.most_free()
         least = _least_demand(steps)
         self._roomy = {
@@ -65,20 +66,20 @@
         }
 
     def may_fit(self, step):
-        """Return whether a task of a step may fit anywhere."""
+        """Return whether a task of a step may fit on any worker."""
         return step.step.room_demand.fits_in(self._most_free)
 
     def may_fit_on(self, step, allowed):
-        """Return whether a task of a step may fit where it may run.
+        """Return whether a task of a step may fit on a worker that may run it.
 
-        Guards against a look at all workers for each of the hundreds of steps whose
-        tickets are for full workers, while others are free.
+        Avoids a scan of all workers for each of the hundreds of steps whose tickets
+        are for full workers, while other workers have capacity.
 
         Parameters
         ----------
         step : StepState
         allowed : dict of str to str or None
-            Tickets by worker; None where none is needed.
+            Tickets by worker; None if the step needs no advice.
         """
         if not self.may_fit(step):
             return False
@@ -90,7 +91,7 @@
 
 
 def _least_demand(steps):
-    """Return the least of each amount that a task of any step takes."""
+    """Return, for each resource, the smallest amount that a task of any step needs."""
     demands = [step.step.room_demand for step in steps]
     return Amounts(
         min((one.processors for one in demands), default=0),
@@ -100,7 +101,7 @@
 
 
 class Decisions:
-    """Place waiting tasks, and keep their starts until their record is durable.
+    """Place waiting tasks, and queue their starts until their record is durable.
 
     Parameters
     ----------
@@ -119,67 +120,67 @@
         self.backlog = BacklogGauge()
 
     def place(self, now):
-        """Place what waits, the most urgent first; starts wait for their record."""
+        """Place waiting tasks, the most urgent first, and queue their starts."""
         owner = self._owner
         steps = owner.book.waiting_steps()
-        turn = _Round(owner, steps, now)
+        current = _PlacementRound(owner, steps, now)
         for step in order_steps(steps, now):
             allowed = None
             if step.job.queue.advice is not None:
                 allowed = owner.advice_manager.tickets(step, now)
                 if allowed is None:
-                    self._wait_for_advice(step, turn)
+                    self._wait_for_advice(step, current)
                     continue
-            self._place_step(step, allowed, turn)
-        owner.advice_manager.is_saturated = turn.lookahead.is_used_up
+            self._place_step(step, allowed, current)
+        owner.advice_manager.is_saturated = current.lookahead.is_used_up
         if self._unsent and owner.recording.may_send(owner.host.peers.all()):
             self.send_starts(self.take_unsent())
 
-    def _wait_for_advice(self, step, turn):
+    def _wait_for_advice(self, step, current):
         known = self._owner.advice_manager.known_fit(step)
-        is_held = bool(known) and turn.holds.take(step, known) is not None
-        reason = self._ask(step, turn, is_held)
-        self._note_wait(step, reason, turn.now)
+        is_held = bool(known) and current.holds.take(step, known) is not None
+        reason = self._request_advice(step, current, is_held)
+        self._log_wait(step, reason, current.now)
 
-    def _ask(self, step, turn, is_held):
-        """Ask for advice on a step if it is its turn; return what it waits for.
+    def _request_advice(self, step, current, is_held):
+        """Request advice on a step if it is its turn; return what it waits for.
 
-        In this order: a step that can't use advice must not keep those behind it from
-        being asked about.
+        Usefulness is checked first: a step that can't use advice must not consume the
+        lookahead and so prevent requests for the steps behind it.
         """
         advice_manager = self._owner.advice_manager
-        if not is_held and not advice_manager.is_useful(step, turn.may_fit(step)):
+        if not is_held and not advice_manager.is_useful(step, current.may_fit(step)):
             return WaitReason.NO_FIT
-        if not turn.lookahead.takes(step):
+        if not current.lookahead.takes(step):
             return WaitReason.TURN
-        advice_manager.request(step, turn.now)
+        advice_manager.request(step, current.now)
         return WaitReason.ADVICE
 
-    def _place_step(self, step, allowed, turn):
-        if turn.may_fit_on(step, allowed):
+    def _place_step(self, step, allowed, current):
+        if current.may_fit_on(step, allowed):
             runs = place_step(step, self._owner.rooms, allowed, self._begin)
-            self._keep_starts(step, runs, allowed or {})
+            self._queue_starts(step, runs, allowed or {})
             if runs:
-                self._note_placed(step, runs, turn.now)
+                self._log_placed(step, runs, current.now)
         if not step.waiting:
             return
-        self._note_wait(step, WaitReason.ROOM, turn.now)
-        forgive_stuck(step, turn.now)
-        free_in = turn.holds.take(step, allowed)
+        self._log_wait(step, WaitReason.ROOM, current.now)
+        forgive_stuck(step, current.now)
+        free_in = current.holds.take(step, allowed)
         if free_in is not None:
-            self._owner.advice_manager.renew(step, free_in, turn.now)
+            self._owner.advice_manager.renew(step, free_in, current.now)
 
-    def _keep_starts(self, step, runs, tickets, is_resumed=True):
-        """Keep starts until their record is durable.
+    def _queue_starts(self, step, runs, tickets, is_resumed=True):
+        """Queue the starts of placed runs until their record is durable.
 
         Parameters
         ----------
         step : StepState
         runs : list of Run
         tickets : dict of str to str
-            By worker; empty where none is needed.
+            By worker; empty if the step needs no advice.
         is_resumed : bool, optional
-            Whether they go on from saved progress; a second copy begins anew.
+            Whether the runs resume from their checkpoint; a second copy does not.
         """
         usable_until = self._owner.advice_manager.usable_until(step)
         payload = step.job.document.payload
@@ -190,7 +191,7 @@
                 StartOrder(run, payload, checkpoint, ticket, usable_until)
             )
 
-    def _note_placed(self, step, runs, now):
+    def _log_placed(self, step, runs, now):
         step.told_wait = None
         STEP_PLACED.write(
             request_id=step.key.job,
@@ -204,13 +205,13 @@
             epoch=self._owner.row.epoch,
         )
 
-    def _note_wait(self, step, reason, now):
-        """Tell what a step waits for, when it has waited long."""
+    def _log_wait(self, step, reason, now):
+        """Log what a step waits for, once it has waited long."""
         waited = now - step.ready_at
-        is_told = (
-            step.told_wait == reason and now < step.told_wait_at + _TELL_AGAIN_SECONDS
+        is_logged = (
+            step.told_wait == reason and now < step.told_wait_at + _LOG_AGAIN_SECONDS
         )
-        if waited < _TOLD_WAIT_SECONDS or is_told:
+        if waited < _LOG_AFTER_SECONDS or is_logged:
             return
         step.told_wait, step.told_wait_at = reason, now
         status = self._owner.advice_manager.status(step, now)
@@ -243,7 +244,7 @@
         return run
 
     def start_copies(self, now):
-        """Start second copies of stragglers that other workers have room for."""
+        """Start second copies of stragglers on other workers with capacity."""
         for job in self._owner.book.live_jobs():
             for step in job.steps():
                 for index in stragglers(step, now):
@@ -263,7 +264,7 @@
         if room is None or room.worker == slow:
             return
         run = self._begin(step, index, room.worker, None)
-        self._keep_starts(step, [run], allowed or {}, is_resumed=False)
+        self._queue_starts(step, [run], allowed or {}, is_resumed=False)
         COPY_STARTED.write(
             **run_fields(run),
             slow_worker=slow,
@@ -272,7 +273,7 @@
         )
 
     def preempt(self, now):
-        """Stop patient tasks for the most urgent step that finds no room."""
+        """Stop tasks of lower priority for the most urgent step without capacity."""
         overdue = [
             step for step in self._owner.book.waiting_steps() if may_preempt(step, now)
         ]
@@ -307,12 +308,12 @@
         return step.job.queue.priority
 
     def take_unsent(self, identifiers=None):
-        """Return starts that are not ordered yet, and forget them.
+        """Remove and return the starts that have not been sent yet.
 
         Parameters
         ----------
         identifiers : set of str, optional
-            Only those of these jobs.
+            Jobs whose starts to return; those of all jobs by default.
         """
         if identifiers is None:
             taken, self._unsent = self._unsent, []
@@ -324,7 +325,7 @@
         return taken
 
     def has_urgent_records(self):
-        """Return whether a start or a final state waits for its record."""
+        """Return whether a start or a job's final state waits to be recorded."""
         with self._owner.lock:
             if self._unsent:
                 return True
@@ -335,11 +336,11 @@
             return any(job is not None and job.is_final for job in jobs)
 
     def requeue_unsent(self, starts):
-        """Keep starts whose record could not be written."""
+        """Put starts back at the front, because their record could not be written."""
         self._unsent = starts + self._unsent
 
     def send_starts(self, starts):
-        """Order starts."""
+        """Send starts to their workers; skip workers that were removed."""
         for start in starts:
             link = self._owner.links_by_worker.get(start.run.worker)
             if link is not None:
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -1,4 +1,4 @@
-"""Decide again and again, as reports of workers come and as time passes."""
+"""The loop that runs scheduling rounds, on worker reports and at fixed intervals."""
 
 from papayapick.jobs import RunPhase
 from papayapick.pool.reconciliation import PREDECESSOR_LEASE_SECONDS
@@ -6,30 +6,31 @@
 __all__ = ["DecisionLoop"]
 
 _TICK_SECONDS = 0.1
-_STOP_AGAIN_SECONDS = 0.4
-# A round that takes longer is followed by a rest of so many times its length.
+_STOP_RETRY_SECONDS = 0.4
+# A round that takes longer than this is followed by a pause of _PAUSE_FACTOR times its
+# duration.
 _LONG_ROUND_SECONDS = 0.005
-_REST_FACTOR = 2.0
-_FORGET_EVERY_SECONDS = 5.0
+_PAUSE_FACTOR = 2.0
+_REMOVAL_INTERVAL_SECONDS = 5.0
 
 
 class DecisionLoop:
-    """Run the rounds of decisions of one owner, as a task of its own.
+    """Run the scheduling rounds of one owner in a thread of its own.
 
     Parameters
     ----------
     owner : PoolOwner
     """
 
-    __slots__ = ("_forgotten_at", "_owner", "_ticked_at")
+    __slots__ = ("_owner", "_removed_at", "_ticked_at")
 
     def __init__(self, owner):
         self._owner = owner
         self._ticked_at = 0.0
-        self._forgotten_at = owner.taken_at
+        self._removed_at = owner.taken_at
 
     def run(self):
-        """Decide until the owner stops."""
+        """Run scheduling rounds until the owner is stopped."""
         owner = self._owner
         while not owner.is_stopped:
             owner.wait_for_work(_TICK_SECONDS)
@@ -38,34 +39,34 @@
                 continue
             with owner.lock:
                 begin = owner.now()
-                self._decide(begin)
+                self._run_round(begin)
                 took = owner.now() - begin
             owner.host.tell(owner)
             if owner.book.changed:
                 owner.journal.wake()
-            self._rest_after(took)
+            self._pause_after_round(took)
 
-    def _decide(self, now):
+    def _run_round(self, now):
         if now - self._ticked_at >= _TICK_SECONDS:
             self._ticked_at = now
             self.tick(now)
-        # What is placed and can't leave holds room until its ticket is too old: the
-        # pool would stand still with hardly a task at work.
+        # A placed task whose start can't be sent reserves capacity until its ticket
+        # expires. Placing more than can be sent would leave the pool nearly idle.
         if not self._owner.orders.is_backlogged():
             self._owner.decisions.place(now)
 
-    def _rest_after(self, seconds):
-        """Leave time for all else after a long round of decisions.
+    def _pause_after_round(self, seconds):
+        """Leave processor time and the lock to other threads after a long round.
 
-        Each report of a worker asks for a round. With a thousand steps waiting, rounds
-        without a pause would take the whole processor and the lock: beats come late,
-        and another host takes the pool.
+        Each worker report triggers a round. With a thousand steps waiting, rounds
+        without a pause would use the whole processor and hold the lock all the time:
+        heartbeats would be late, and another host would take the pool.
         """
         if seconds > _LONG_ROUND_SECONDS:
-            self._owner.pause(min(_REST_FACTOR * seconds, _TICK_SECONDS))
+            self._owner.pause(min(_PAUSE_FACTOR * seconds, _TICK_SECONDS))
 
     def tick(self, now):
-        """Do what is due by time; the caller holds the lock."""
+        """Run all periodic actions that are due; the caller holds the lock."""
         owner = self._owner
         owner.book.open_due(owner.host.clock.time(), now)
         owner.reconciliation.release_safe_tasks(now)
@@ -76,13 +77,13 @@
         owner.decisions.start_copies(now)
         owner.decisions.preempt(now)
         owner.orders.stop_unneeded()
-        if now - self._forgotten_at > _FORGET_EVERY_SECONDS:
-            self._forgotten_at = now
+        if now - self._removed_at > _REMOVAL_INTERVAL_SECONDS:
+            self._removed_at = now
             owner.remove_old_jobs(now)
 
     def _tick_link(self, link, now):
         owner = self._owner
-        if link.is_silent and now > max(link.lapse_at, self._lapse_floor(link)):
+        if link.is_silent and now > max(link.lapse_at, self._earliest_lapse(link)):
             owner.lists.lose_runs(link, "lease over")
             if not link.is_listed and owner.reconciliation.is_complete:
                 owner.sources.drop_link(link)
@@ -90,8 +91,12 @@
         for run in list(owner.rooms.get(link.worker).runs.values()):
             self._tick_run(link, run, now)
 
-    def _lapse_floor(self, link):
-        # What an earlier owner started there is under a lease that it gave.
+    def _earliest_lapse(self, link):
+        """Return the time before which no run of a silent worker counts as lost.
+
+        Runs that an earlier owner started there hold a lease granted by that owner,
+        whose end is unknown until the worker has reported to this one.
+        """
         return (
             0.0
             if link.is_inventoried
@@ -106,7 +111,7 @@
         elif (
             run.phase == RunPhase.STOPPING
             and run.stop_confirmed is None
-            and now - run.stop_requested > _STOP_AGAIN_SECONDS
+            and now - run.stop_requested > _STOP_RETRY_SECONDS
         ):
             run.stop_requested = now
             self._owner.orders.stop(link, run)
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -1,4 +1,4 @@
-"""Own one pool of workers: take it over, decide for it, give it up."""
+"""The owner of a pool: takes it over, schedules its jobs and releases it."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -34,34 +34,38 @@
 
 __all__ = ["PoolOwner"]
 
-# A task for each worker, which lasts as long as its link, and for each loop. A worker
-# that finds none is never asked, nor used. Idle ones cost a small stack only.
-_TASKS = 4096
-# An order without an answer takes its thread for 0.35 s, a stop and the look after it
-# up to 1.2 s. Stops have threads of their own: those to workers that are cut off would
-# keep all starts from leaving until their tickets are too old.
-_START_TASKS = 128
-_STOP_TASKS = 128
+# Each worker's link and each loop occupies one thread for as long as it exists. A
+# worker whose link finds no free thread is never contacted and gets no tasks. An idle
+# thread costs only a small stack.
+_LOOP_THREADS = 4096
+# An unanswered start occupies its thread for 0.35 s; a stop and the report requested
+# after it take up to 1.2 s. Stops have a thread pool of their own: stops to unreachable
+# workers would otherwise delay all starts until their tickets expire.
+_START_THREADS = 128
+_STOP_THREADS = 128
 
 
 class PoolOwner:
-    """Decide for one pool under one epoch; its parts do the work.
+    """Schedule the jobs of one pool under one epoch.
+
+    Creates the components that do the work, runs their loops in threads, and releases
+    the pool when one of the loops fails.
 
     Parameters
     ----------
     host : EntryHost
-        The process: store, clock, pools of connections, peers and queues.
+        The process: store, clock, connection pools, peers and queues.
     row : PoolRow
-        As it was taken.
+        The pool's row in the store, as this host wrote it when it took the pool.
     is_journal_exact : bool
-        Whether each start of before is known to have been recorded.
+        Whether every start ordered by earlier owners is known to be recorded.
 
     Attributes
     ----------
     has_read_state : bool
-        Whether jobs, progress and workers were read from the store.
+        Whether jobs, progress and workers have been read from the store.
     lock : threading.RLock
-        Held by whoever reads or changes book, rooms or links.
+        Must be held to read or change ``book``, ``rooms`` or ``links_by_worker``.
     """
 
     __slots__ = (
@@ -69,7 +73,7 @@
         "_order_executor",
         "_stop_executor",
         "_wakeup",
-        "_was_unrecorded",
+        "_was_announced",
         "advice_manager",
         "book",
         "decisions",
@@ -105,19 +109,19 @@
         self.links_by_worker = {}
         self.is_lost = False
         self.has_read_state = False
-        self._was_unrecorded = False
+        self._was_announced = False
         self.stopping = threading.Event()
         self.taken_at = host.clock.monotonic()
         self._wakeup = threading.Event()
-        self._executor = ThreadPoolExecutor(_TASKS, thread_name_prefix="pool")
+        self._executor = ThreadPoolExecutor(_LOOP_THREADS, thread_name_prefix="pool")
         self._order_executor = ThreadPoolExecutor(
-            _START_TASKS, thread_name_prefix="starts"
+            _START_THREADS, thread_name_prefix="starts"
         )
         self._stop_executor = ThreadPoolExecutor(
-            _STOP_TASKS, thread_name_prefix="stops"
+            _STOP_THREADS, thread_name_prefix="stops"
         )
         self.orders = OrderSender(
-            self, self._order_executor, self._stop_executor, _START_TASKS
+            self, self._order_executor, self._stop_executor, _START_THREADS
         )
         self.journal = PoolJournal(host.store, self, host.clock)
         self.recording = RecordingMode(host.clock)
@@ -131,7 +135,7 @@
         self.news = News(self)
         self.loop = DecisionLoop(self)
 
-    # What it is, and whether it may decide.
+    # State, and permission to send orders.
 
     @property
     def pool(self):
@@ -140,51 +144,67 @@
 
     @property
     def is_stopped(self):
-        """Return whether this owner has given up or lost the pool."""
+        """Return whether this owner has released or lost the pool."""
         return self.stopping.is_set()
 
     def links(self):
-        """Return the links to all workers, as a list."""
+        """Return the links to all workers as a list."""
         return list(self.links_by_worker.values())
 
     def now(self):
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return self.host.clock.monotonic()
 
     def may_act(self):
-        """Return whether orders may be sent."""
+        """Return whether orders may be sent: ownership was confirmed recently."""
         return not self.is_stopped and self.ownership_status.is_confirmed()
 
     def may_lack_records(self):
-        """Return whether a successor must not trust the records of starts."""
+        """Return whether starts may be missing from the records a successor reads."""
         return self.recording.is_announced or self.reconciliation.may_lack_records()
 
     def note_peer_answer(self, peer, epoch, asked_at):
-        """Take in the answer of another host to a beat."""
+        """Process another host's answer to a heartbeat of this owner.
+
+        Parameters
+        ----------
+        peer : Peer
+        epoch : int
+            Newest epoch of this pool that the peer knows.
+        asked_at : float
+            Monotonic time at which the heartbeat was sent.
+        """
         if epoch > self.row.epoch:
             self.note_lost()
         else:
             self.ownership_status.note_peer_answer(peer, asked_at)
 
     def refresh_queues(self):
-        """Let jobs follow the policies of a new configuration."""
+        """Apply the queue policies of a new configuration to all jobs."""
         with self.lock:
             for job in self.book.jobs():
                 job.queue = self.host.queue_of(job.document)
 
     def note_lost(self):
-        """Stop at once: another host owns the pool."""
+        """Stop at once, because another host owns the pool."""
         self.is_lost = True
         self.stop()
 
-    # Taking over and giving up.
+    # Takeover and release.
 
     def start(self):
-        """Read the state of the pool, then decide for it."""
+        """Read the state of the pool from the store, then start the loops.
+
+        Raises
+        ------
+        TableUnavailable
+            If the store is unavailable.
+        """
         version = self.sources.load()
         with self.lock:
             if self.is_stopped:
-                # Another host took the pool while its state was read here.
+                # Another host took the pool while this one read its state. The
+                # executors are shut down, so that submitting a loop would raise.
                 return
             self.has_read_state = True
             for name, step in (
@@ -208,7 +228,7 @@
         )
 
     def stop(self):
-        """End every task of this owner."""
+        """Stop all loops, links and pending orders of this owner."""
         with self.lock:
             if self.stopping.is_set():
                 return
@@ -223,15 +243,15 @@
         POOL_LEFT.write(pool=self.pool, epoch=self.row.epoch, is_lost=self.is_lost)
 
     def request_successor(self):
-        """Ask for a successor, and go on until there is one.
+        """Ask the other hosts to take over, and continue until one of them has.
 
-        Giving the pool up first would leave it without an owner until another host
-        has taken it and read its state: 0.1 s as a rule, 3 s with a slow store.
+        Releasing the pool first would leave it without an owner until another host
+        has taken it and read its state: usually 0.1 s, but 3 s with a slow store.
         """
         self.ownership_status.is_leaving = True
 
     def release(self):
-        """Commit what is known, stop, and free the pool for another host."""
+        """Commit pending records, stop, and free the pool for another host."""
         self.journal.commit()
         self.stop()
         try:
@@ -242,45 +262,59 @@
             )
 
     def pause(self, seconds):
-        """Wait, but not longer than this owner lasts."""
+        """Wait for some seconds, or until this owner is stopped."""
         self.host.clock.wait(self.stopping, seconds)
 
     def wake(self):
-        """Look for work to place at once."""
+        """Start the next scheduling round without waiting for its turn."""
         self._wakeup.set()
 
-    def _guarded(self, name, step):
+    def _run_guarded(self, name, step):
         try:
             step()
         except Exception:
-            # Without one of its loops the owner would hold the pool and do
-            # nothing: another host does better.
+            # An owner without one of its loops would hold the pool but not serve it,
+            # so the pool is released for another host.
             POOL_LOOP_FAILED.write_failure(pool=self.pool, loop=name)
             self.note_lost()
             self.release()
 
     def submit(self, name, step):
-        """Run an endless task; if it fails, the pool is given up."""
-        self._executor.submit(self._guarded, name, step)
+        """Run a loop in a thread; release the pool if the loop raises.
+
+        Parameters
+        ----------
+        name : str
+            Names the loop in the log.
+        step : callable
+            Returns only when the owner is stopped.
+        """
+        self._executor.submit(self._run_guarded, name, step)
 
-    # For the loop of decisions.
+    # For the decision loop.
 
     def wait_for_work(self, seconds):
-        """Wait until there is work to place, but not longer than so many seconds."""
+        """Wait until ``wake`` is called, or for at most ``seconds``."""
         self.host.clock.wait(self._wakeup, seconds)
         self._wakeup.clear()
 
     def tick(self, now):
-        """Do what is due by time; the caller holds the lock."""
+        """Run all periodic actions that are due; the caller holds the lock."""
         self.loop.tick(now)
 
     def remove_old_jobs(self, now):
-        """Let jobs that have been over for long be dropped from store and memory."""
+        """Remove jobs that ended long ago from the store and from memory."""
         if not self.is_stopped:
             self._executor.submit(forget_jobs, self, self.host, now)
 
     def note_commit(self, seconds):
-        """Take in a commit, or with None one that the store did not take."""
+        """Update the recording mode and the store's health after a commit.
+
+        Parameters
+        ----------
+        seconds : float or None
+            Duration of the commit; None if the store was unavailable.
+        """
         if seconds is not None:
             self.recording.note_commit(seconds)
             self.host.store_health.note_word()
@@ -288,14 +322,14 @@
             self.host.store_health.note_failure()
             self.recording.note_failure()
             self.recording.note_outage(self.ownership_status.is_store_down_for_all())
-        self._note_recording(seconds)
+        self._log_recording_change(seconds)
 
-    def _note_recording(self, seconds):
-        is_wanted = self.recording.is_announced
-        if is_wanted != self._was_unrecorded:
-            self._was_unrecorded = is_wanted
+    def _log_recording_change(self, seconds):
+        is_announced = self.recording.is_announced
+        if is_announced != self._was_announced:
+            self._was_announced = is_announced
             RECORDING_CHANGED.write(
                 pool=self.pool,
-                is_before_start=not is_wanted,
+                is_before_start=not is_announced,
                 commit_seconds=None if seconds is None else round(seconds, 4),
             )
