--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -78,7 +78,7 @@
     owner._stop_executor.shutdown()
     owner._executor, owner.orders._executor = NoThreads(), NoThreads()
     owner.orders._stop_executor = NoThreads()
-    owner.sources.load()
+    owner.store_sync.load()
     loaded = time.monotonic()
     owner.tick(owner.now())
     owner.decisions.place(owner.now())
--- a/papayapick/entry/lines.py
+++ b/papayapick/entry/lines.py
@@ -40,7 +40,7 @@
 
     def renew(self, owner):
         """Tell all that is known of a pool that this host has taken."""
-        self._host.board.note(owner.news.all_states())
+        self._host.board.note(owner.status_feed.all_states())
         self.open()
 
     def open(self):
@@ -81,7 +81,7 @@
     def tell(self, owner):
         """Tell all hosts what has changed in an owner's pool."""
         self._note_backlogs(owner)
-        news = owner.news.take()
+        news = owner.status_feed.take()
         if not news:
             return
         self._host.board.note(news)
@@ -124,7 +124,7 @@
         self._host = host
         self._owner = owner
         self._peer = peer
-        self._news = owner.news.all_states()
+        self._news = owner.status_feed.all_states()
         self._lock = threading.Lock()
         self._wakeup = threading.Event()
         self._missed_since = None
@@ -252,4 +252,4 @@
 def _counted(owner):
     """Return what waits in the queues of an owner, and as of when that is true."""
     with owner.lock:
-        return owner.news.backlogs(), owner.news.known_at
+        return owner.status_feed.backlogs(), owner.status_feed.known_at
--- a/papayapick/pool/lives.py
+++ b/papayapick/pool/lives.py
@@ -65,7 +65,7 @@
 
     def _give_up(self, link):
         if link.is_inventoried:
-            self._owner.lists.lose_seen_runs(link)
+            self._owner.report_handler.lose_seen_runs(link)
         else:
             self._owner.reconciliation.note_worker_gone(link.worker, self._owner.now())
 
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -84,9 +84,9 @@
     def _tick_link(self, link, now):
         owner = self._owner
         if link.is_silent and now > max(link.lapse_at, self._earliest_lapse(link)):
-            owner.lists.lose_runs(link, "lease over")
+            owner.report_handler.lose_runs(link, "lease over")
             if not link.is_listed and owner.reconciliation.is_complete:
-                owner.sources.drop_link(link)
+                owner.store_sync.drop_link(link)
             return
         for run in list(owner.rooms.get(link.worker).runs.values()):
             self._tick_run(link, run, now)
--- a/papayapick/pool/news.py
+++ b/papayapick/pool/news.py
@@ -81,7 +81,9 @@
         owner = self._owner
         if not (owner.has_read_state and owner.reconciliation.knows_starts):
             return None
-        known_at = min(owner.sources.complete_at, owner.ownership_status.confirmed_at)
+        known_at = min(
+            owner.store_sync.complete_at, owner.ownership_status.confirmed_at
+        )
         return None if math.isinf(known_at) else known_at
 
     def _count(self, now):
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -150,7 +150,7 @@
                 self._note_not_started(room, run, outcome, now)
             self.stop_unneeded()
         if outcome == StartOutcome.FENCED:
-            self._owner.lists.note_fenced(link)
+            self._owner.report_handler.note_fenced(link)
         self._owner.wake()
 
     def _note_not_started(self, room, run, outcome, now):
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -82,20 +82,20 @@
         "is_lost",
         "journal",
         "links_by_worker",
-        "lists",
         "lock",
         "loop",
-        "news",
         "orders",
         "ownership_status",
         "reconciliation",
         "recording",
+        "report_handler",
         "rooms",
         "roster",
         "row",
         "run_monitor",
-        "sources",
+        "status_feed",
         "stopping",
+        "store_sync",
         "taken_at",
     )
 
@@ -127,12 +127,12 @@
         self.recording = RecordingMode(host.clock)
         self.ownership_status = OwnershipStatus(host)
         self.reconciliation = Reconciliation(self, is_journal_exact)
-        self.sources = Sources(self)
-        self.lists = WorkerLists(self)
+        self.store_sync = Sources(self)
+        self.report_handler = WorkerLists(self)
         self.advice_manager = AdviceManager(self)
         self.decisions = Decisions(self)
         self.run_monitor = RunMonitor(self)
-        self.news = News(self)
+        self.status_feed = News(self)
         self.loop = DecisionLoop(self)
 
     # State, and permission to send orders.
@@ -200,7 +200,7 @@
         TableUnavailable
             If the store is unavailable.
         """
-        version = self.sources.load()
+        version = self.store_sync.load()
         with self.lock:
             if self.is_stopped:
                 # Another host took the pool while this one read its state. The
@@ -208,8 +208,8 @@
                 return
             self.has_read_state = True
             for name, step in (
-                ("jobs", lambda: self.sources.follow_jobs(version)),
-                ("workers", lambda: self.sources.follow_workers(version)),
+                ("jobs", lambda: self.store_sync.follow_jobs(version)),
+                ("workers", lambda: self.store_sync.follow_workers(version)),
                 ("decisions", self.loop.run),
                 ("journal", self.journal.run),
             ):
--- a/papayapick/pool/sources.py
+++ b/papayapick/pool/sources.py
@@ -208,12 +208,12 @@
             if link is not None:
                 link.is_listed = False
                 link.registration.is_leaving = True
-                self._owner.lists.open_or_close(link)
+                self._owner.report_handler.open_or_close(link)
             return
         if link is not None:
             link.is_listed = True
             link.registration.is_leaving = registration.is_leaving
-            self._owner.lists.open_or_close(link)
+            self._owner.report_handler.open_or_close(link)
             return
         self._owner.roster.add(registration)
         self._add_link(registration, is_listed=True)
@@ -224,7 +224,7 @@
         worker = registration.worker
         host = self._owner.host
         client = WorkerClient(worker, registration.address, host.worker_pool)
-        epoch, lists = self._owner.row.epoch, self._owner.lists
+        epoch, lists = self._owner.row.epoch, self._owner.report_handler
         link = WorkerLink(registration, client, epoch, host.clock, lists)
         link.is_listed = is_listed
         self._owner.links_by_worker[worker] = link
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -202,7 +202,7 @@
         link = self._owner.links_by_worker.get(worker)
         if room is not None and link is not None:
             room.is_emptied = is_emptied
-            self._owner.lists.open_or_close(link)
+            self._owner.report_handler.open_or_close(link)
 
     def _is_empty(self, found, worker, patience):
         """Stop what is to leave a worker; return whether nothing is left there."""
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -97,7 +97,7 @@
     def note_all_taken_in(self):
         """Let the feed of jobs be answered, and the ownership be confirmed."""
         now = self.host.clock.monotonic()
-        self.owner.sources._note_complete(now)
+        self.owner.store_sync._note_complete(now)
         self.owner.ownership_status.note_confirmed(now)
 
     def beat(self):
--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -61,7 +61,7 @@
     owner = SimpleNamespace(
         pool="pool",
         row=SimpleNamespace(epoch=1),
-        news=SimpleNamespace(all_states=dict, backlogs=dict, known_at=None),
+        status_feed=SimpleNamespace(all_states=dict, backlogs=dict, known_at=None),
         may_lack_records=lambda: False,
         has_read_state=True,
         ownership_status=SimpleNamespace(gives_way=lambda: False),
@@ -150,7 +150,7 @@
     def __init__(self, pool):
         self.pool = pool
         self.row = SimpleNamespace(epoch=1)
-        self.news = SimpleNamespace(
+        self.status_feed = SimpleNamespace(
             all_states=dict, take=lambda: {pool + "-job": "running"}, backlogs=dict
         )
 
--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -426,7 +426,7 @@
             executor.shutdown()
         owner._executor = NoThreads()
         owner.orders._executor, owner.orders._stop_executor = NoThreads(), NoThreads()
-        owner.sources.load()
+        owner.store_sync.load()
         for name, link in owner.links_by_worker.items():
             link.client = LateClient(self, self._workers[name])
             self._asks_at[name] = self.now + self.rng.uniform(0.0, 0.2)
--- a/tests/pool/owners.py
+++ b/tests/pool/owners.py
@@ -40,7 +40,7 @@
     owner._stop_executor.shutdown()
     owner._executor, owner.orders._executor = NoThreads(), NoThreads()
     owner.orders._stop_executor = NoThreads()
-    owner.sources.load()
+    owner.store_sync.load()
     return owner
 
 
@@ -63,7 +63,7 @@
         [EndReport(number, *end) for number, end in enumerate(ends, 1)],
         has_more_ends,
     )
-    owner.lists.note_report(link, found, now if asked_at is None else asked_at)
+    owner.report_handler.note_report(link, found, now if asked_at is None else asked_at)
     return link
 
 
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -159,7 +159,7 @@
         self.owner._stop_executor.shutdown()
         self.owner._executor, self.owner.orders._executor = NoThreads(), NoThreads()
         self.owner.orders._stop_executor = NoThreads()
-        self.owner.sources.load()
+        self.owner.store_sync.load()
         self._looked_at = dict.fromkeys(self.workers, 0.0)
         self.handed_in = {}
         self.finished = {}
@@ -223,7 +223,9 @@
         self._looked_at[worker.name] = self.now
         link = self.owner.links_by_worker[worker.name]
         link._worker_clock = 50.0
-        self.owner.lists.note_report(link, worker.report(self._length_of), self.now)
+        self.owner.report_handler.note_report(
+            link, worker.report(self._length_of), self.now
+        )
         link.acknowledge(link.processed, link.born)
 
     def _carry_out(self):
--- a/tests/pool/test_count_age.py
+++ b/tests/pool/test_count_age.py
@@ -19,8 +19,8 @@
 def counted(owner):
     """Count anew; return the number and as of when it is true."""
     owner.host.clock.advance(0.1)
-    backlog = owner.news.backlogs().get("q")
-    return backlog.waiting if backlog is not None else 0, owner.news.known_at
+    backlog = owner.status_feed.backlogs().get("q")
+    return backlog.waiting if backlog is not None else 0, owner.status_feed.known_at
 
 
 def test_count_is_true_as_of_when_the_state_was_asked_for(found):
@@ -43,7 +43,7 @@
     host, owner = found
     calls = []
     host.follow = lambda *args, **options: calls.append((args, options))
-    owner.sources.follow_jobs(1)
+    owner.store_sync.follow_jobs(1)
     ((_, options),) = calls
     host.clock.advance(1.0)
     confirm(owner)
@@ -55,7 +55,7 @@
     """An owner that was replaced without knowing counted jobs that had begun."""
     host, owner = found
     host.clock.advance(1.0)
-    owner.sources._note_complete(owner.now())
+    owner.store_sync._note_complete(owner.now())
     assert counted(owner) == (1, 1000.0)
     owner.ownership_status.invalidate()
     assert counted(owner) == (1, None)
@@ -68,9 +68,9 @@
     counted(owner)
     host.clock.advance(0.05)
     confirm(owner)
-    owner.sources._note_complete(owner.now())
-    owner.news.backlogs()
-    assert owner.news.known_at == 1000.0
+    owner.store_sync._note_complete(owner.now())
+    owner.status_feed.backlogs()
+    assert owner.status_feed.known_at == 1000.0
 
 
 def test_owner_that_has_not_read_its_state_knows_no_count(found):
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -284,13 +284,13 @@
     owner.rooms.get("w2").is_open = False
     link = owner.links_by_worker["w1"]
     now = host.clock.monotonic()
-    owner.lists.note_rebirth(link, 2)
+    owner.report_handler.note_rebirth(link, 2)
     other = TaskKey("0" * 16, 0, 0, 0)
     ends = [EndReport(number, other, 1, "done") for number in range(1, 58)]
-    owner.lists.note_report(link, WorkerReport(50.0, 1, [], ends), now)
+    owner.report_handler.note_report(link, WorkerReport(50.0, 1, [], ends), now)
     (run,) = place(owner)
     ends = [EndReport(1, KEY, run.attempt, "done")]
-    owner.lists.note_report(link, WorkerReport(50.0, 2, [], ends), now)
+    owner.report_handler.note_report(link, WorkerReport(50.0, 2, [], ends), now)
     assert owner.book.get(ID).status == JobStatus.COMPLETED
 
 
--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -43,7 +43,7 @@
     (worker,) = {run.worker for run in runs(load)}
     link = load.owner.links_by_worker[worker]
     link.failed_since = load.now
-    load.owner.lists.note_silence(link)
+    load.owner.report_handler.note_silence(link)
     load.silent = worker
     (load.other,) = set(load.workers) - {worker}
     return load
@@ -112,7 +112,7 @@
     report(owner, "w1")
     link = owner.links_by_worker["w2"]
     link.failed_since = host.clock.monotonic()
-    owner.lists.note_silence(link)
+    owner.report_handler.note_silence(link)
     return owner
 
 
--- a/tests/pool/test_news.py
+++ b/tests/pool/test_news.py
@@ -29,11 +29,11 @@
     if is_store_away:
         load.owner.recording.note_failure()
         assert load.owner.recording.is_announced
-    assert load.owner.news.all_states() == {job.identifier: JobStatus.RUNNING}
-    assert load.owner.news.take() == {job.identifier: JobStatus.RUNNING}
+    assert load.owner.status_feed.all_states() == {job.identifier: JobStatus.RUNNING}
+    assert load.owner.status_feed.take() == {job.identifier: JobStatus.RUNNING}
     job.durable_status = JobStatus.COMPLETED
     load.owner.book.news.add(job.identifier)
-    assert load.owner.news.take() == {job.identifier: JobStatus.COMPLETED}
+    assert load.owner.status_feed.take() == {job.identifier: JobStatus.COMPLETED}
 
 
 @pytest.mark.parametrize("status", [JobStatus.FAILED, JobStatus.CANCELLED])
@@ -41,4 +41,4 @@
     load.owner.recording.note_failure()
     (job,) = load.owner.book.jobs()
     load.owner.book.finish(job, status, load.now)
-    assert load.owner.news.take() == {job.identifier: JobStatus.RUNNING}
+    assert load.owner.status_feed.take() == {job.identifier: JobStatus.RUNNING}
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -56,7 +56,7 @@
         self.owner = PoolOwner(self.host, PoolRow("pool", "h1", 3, "a:1", 9), True)
         self.owner._executor.shutdown()
         self.owner._executor = NoThreads()
-        self.owner.sources.load()
+        self.owner.store_sync.load()
         self.clients = {}
         for worker, link in self.owner.links_by_worker.items():
             report(self.owner, worker)
@@ -173,7 +173,7 @@
         for run in runs:
             owner.rooms.get("w0").reserve(run)
             owner.orders.stop_once(run, owner.now())
-        owner.lists.lose_runs(owner.links_by_worker["w0"], "lease over")
+        owner.report_handler.lose_runs(owner.links_by_worker["w0"], "lease over")
     client = pool.clients["w0"]
     pool.let_go()
     assert not wait_until(lambda: client.stops > len(runs) / 2, NEVER_SECONDS)
@@ -263,7 +263,7 @@
     for number in range(LARGE_POOL):
         register(host, f"w{number}")
     owner = PoolOwner(host, PoolRow("pool", "h1", 3, "a:1", 9), True)
-    owner.sources.load()
+    owner.store_sync.load()
     try:
         assert wait_until(lambda: len(host.worker_pool.called) == LARGE_POOL)
     finally:
--- a/tests/pool/test_overload.py
+++ b/tests/pool/test_overload.py
@@ -124,10 +124,10 @@
     load = Replay(workers=1, length=SECONDS)
     for _ in range(400):
         load.hand_in(tasks=4, estimate=SECONDS)
-    assert load.owner.news.backlogs()["q"].retry_after == 0
+    assert load.owner.status_feed.backlogs()["q"].retry_after == 0
     load.run(10.0)
     # One job in 0.8 s begins: 387 or so wait for over five minutes.
-    backlog = load.owner.news.backlogs()["q"]
+    backlog = load.owner.status_feed.backlogs()["q"]
     assert 380 < backlog.waiting < 395
     assert backlog.retry_after == 30
 
@@ -218,12 +218,12 @@
     refused = 0
     for _ in range(80):
         for _ in range(8):
-            backlog = owner.news.backlogs().get("q")
+            backlog = owner.status_feed.backlogs().get("q")
             if backlog is not None and backlog.retry_after:
                 refused += 1
             else:
                 load.hand_in(tasks=5, estimate=SECONDS)
         load.run(0.1)
     # 40 tasks a second are done; what can be of use is of the next 5 s.
-    assert owner.news.backlogs()["q"].waiting < 400
+    assert owner.status_feed.backlogs()["q"].waiting < 400
     assert refused > 200
--- a/tests/pool/test_owner.py
+++ b/tests/pool/test_owner.py
@@ -342,7 +342,7 @@
     link = owner.links_by_worker[start.run.worker]
     link._worker_clock = 50.0
     link.client = client = Starting()
-    owner.lists.note_rebirth(link, 2)
+    owner.report_handler.note_rebirth(link, 2)
     (second,) = place(owner)
     assert second.attempt == 2
     owner.orders._start(link, start)
@@ -395,7 +395,7 @@
     owner = owner_of(host)
     report(owner, "w1")
     link = report(owner, "w2")
-    owner.sources.note_worker_rows([StoredRow("servers", "", "w2", None, 2, True)])
+    owner.store_sync.note_worker_rows([StoredRow("servers", "", "w2", None, 2, True)])
     link.failed_since = host.clock.monotonic()
     host.clock.advance(20.0)
     owner.tick(host.clock.monotonic())
--- a/tests/pool/test_pace.py
+++ b/tests/pool/test_pace.py
@@ -101,7 +101,7 @@
                 for number in range(1, attempt)
             ]
             found = WorkerReport(50.0, 1, runs, ended)
-            self.owner.lists.note_report(link, found, now)
+            self.owner.report_handler.note_report(link, found, now)
             self._carry_out()
 
     def _carry_out(self):
--- a/tests/pool/test_reconciliation.py
+++ b/tests/pool/test_reconciliation.py
@@ -75,7 +75,7 @@
     owner = owner_of(host, is_journal_exact=is_journal_exact)
     report(owner, "w1")
     assert place(owner) == []
-    owner.lists.note_rebirth(owner.links_by_worker["w2"], None)
+    owner.report_handler.note_rebirth(owner.links_by_worker["w2"], None)
     assert [run.worker for run in place(owner)] == ["w1"]
 
 
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -120,12 +120,12 @@
         owner = load.owner
         with owner.lock:
             link = owner.links_by_worker[old]
-            owner.lists.lose_runs(link, "upkeep")
-            owner.sources.drop_link(link)
+            owner.report_handler.lose_runs(link, "upkeep")
+            owner.store_sync.drop_link(link)
             del load.workers[old], load._looked_at[old]
             new = old + "b"
             row = StoredRow("servers", "", new, _registration(new), 1)
-            owner.sources.note_worker_rows([row])
+            owner.store_sync.note_worker_rows([row])
         load.workers[new], load._looked_at[new] = Worker(new), load.now
         load._look(load.workers[new])
         self._workers[machine] = new
