--- a/papayapick/pool/advice_cache.py
+++ b/papayapick/pool/advice_cache.py
@@ -1,54 +1,63 @@
-"""Keep advice on which workers may run a step, asked ahead of need."""
+"""Cache of the advice service's answers: which workers may run a step."""
 
 __all__ = ["AdviceCache", "AdviceStatus"]
 
-# A ticket is used only if it is valid so much longer: an order over the link
-# between regions takes up to 50 ms, and may wait for a thread.
+# A ticket is used only if it remains valid for this long: an order over the link
+# between regions takes up to 50 ms, and may first wait for a thread.
 _TICKET_SLACK_SECONDS = 0.2
-# The advice service takes at most 100 workers in a call.
+# The advice service accepts at most 100 workers in a call.
 _WORKERS_PER_CALL = 100
 _RETRY_SECONDS = 0.2
-# A question without an answer for so long is asked again: it may be lost with the host
-# that was to ask it. A lasting task whose question is lost once is back within 6 s all
-# the same, as its users expect.
+# A request that is unanswered for _LOST_FACTOR times its expected duration plus
+# _LOST_SECONDS is sent again, as the host that was to call the advice service may have
+# failed. A lasting task for which one request is lost still starts within 6 s, as its
+# users expect.
 _LOST_FACTOR = 2
 _LOST_SECONDS = 1.0
 
 
 class _Advice:
-    """Hold what is known of one step."""
+    """Hold the tickets for one step and its request in progress."""
 
-    __slots__ = ("asked", "asked_at", "lost_at", "tickets", "unfit", "valid_until")
+    __slots__ = (
+        "lost_at",
+        "pending",
+        "requested_at",
+        "tickets",
+        "unfit",
+        "valid_until",
+    )
 
     def __init__(self):
-        self.asked_at = 0.0
-        # Workers of the call that is under way; empty where none is.
-        self.asked = ()
-        # When the call under way counts as lost.
+        self.requested_at = 0.0
+        # Workers of the request in progress; empty if there is none.
+        self.pending = ()
+        # Time at which the request in progress counts as lost.
         self.lost_at = 0.0
-        # Workers that may not run the step: that doesn't change, only tickets
-        # age. Those that came since are in neither set, and are asked about.
+        # Workers that may not run the step. That is permanent, while tickets expire.
+        # Workers that joined later are neither here nor in tickets, so that the next
+        # request includes them.
         self.unfit = set()
         self.tickets = {}
         self.valid_until = 0.0
 
-    def end_question(self, asked):
-        """Note that the question on some workers is over, if it is the newest."""
-        if asked is self.asked:
-            self.asked = ()
+    def end_request(self, requested):
+        """Clear the request in progress if it is the one on the list ``requested``."""
+        if requested is self.pending:
+            self.pending = ()
 
 
 class AdviceStatus:
-    """Tell how far the advice on a step is.
+    """State of the advice on a step, for the log.
 
     Parameters
     ----------
     advised, unfit : int
-        Workers with a valid ticket, and those that may not run the step.
+        Number of workers with a valid ticket, and of those that may not run the step.
     asked_seconds : float or None
-        Since the question under way was asked; None where there is none.
+        Age of the request in progress; None if there is none.
     is_lost : bool
-        The question had no answer for longer than it can take.
+        Whether that request is unanswered for longer than an answer can take.
     """
 
     __slots__ = ("advised", "asked_seconds", "is_lost", "unfit")
@@ -61,13 +70,13 @@
 
 
 class AdviceCache:
-    """Hold advice by step; its caller holds the owner's lock.
+    """Cache advice by step; the caller of every method holds the owner's lock.
 
     Parameters
     ----------
     ask : callable
-        Called with step key, list of workers and expected seconds; has
-        ``note_answer`` or ``note_failure`` called later.
+        Called with step key, list of workers and expected seconds. Must cause a later
+        call of ``note_answer`` or ``note_failure``.
     """
 
     __slots__ = ("_ask", "_by_step")
@@ -77,13 +86,18 @@
         self._by_step = {}
 
     def tickets(self, key, policy, now):
-        """Return the valid tickets of a step by worker, or None.
+        """Return the valid tickets of a step by worker, or None if there are none.
 
         Parameters
         ----------
         key : StepKey
         policy : AdvicePolicy
         now : float
+
+        Returns
+        -------
+        dict of str to str or None
+            Empty if no worker may run the step.
         """
         advice = self._by_step.get(key)
         if advice is None or now > advice.valid_until:
@@ -91,72 +105,75 @@
         return advice.tickets
 
     def usable_until(self, key):
-        """Return when the tickets of a step are too old to be sent; may be never."""
+        """Return the time after which a step's tickets must not be sent; may be inf."""
         advice = self._by_step.get(key)
         if advice is None:
             return float("inf")
         return advice.valid_until + _TICKET_SLACK_SECONDS / 2
 
     def is_answered(self, key):
-        """Return whether a question on a step had an answer."""
+        """Return whether a request on a step has ever been answered."""
         advice = self._by_step.get(key)
         return advice is not None and advice.valid_until > 0
 
     def unfit(self, key):
-        """Return the workers known not to be allowed a step."""
+        """Return the workers that are known to be barred from a step."""
         advice = self._by_step.get(key)
         return advice.unfit if advice is not None else frozenset()
 
     def known_fit(self, key):
-        """Return the workers that the last answer named, whatever its age."""
+        """Return the tickets of the last answer by worker, also expired ones."""
         advice = self._by_step.get(key)
         return advice.tickets if advice is not None else {}
 
     def valid_seconds(self, key, now):
-        """Return how long the tickets of a step can still be used; may be negative."""
+        """Return for how many seconds a step's tickets are usable; may be negative."""
         advice = self._by_step.get(key)
         return advice.valid_until - now if advice is not None else float("-inf")
 
     def status(self, key, now):
-        """Return an AdviceStatus of a step."""
+        """Return the AdviceStatus of a step."""
         advice = self._by_step.get(key)
         if advice is None:
             return AdviceStatus()
         return AdviceStatus(
             advised=0 if now > advice.valid_until else len(advice.tickets),
             unfit=len(advice.unfit),
-            asked_seconds=now - advice.asked_at if advice.asked else None,
-            is_lost=bool(advice.asked) and now >= advice.lost_at,
+            asked_seconds=now - advice.requested_at if advice.pending else None,
+            is_lost=bool(advice.pending) and now >= advice.lost_at,
         )
 
     def request(self, key, policy, candidates, now):
-        """Ask for advice on a step unless that is under way.
+        """Request advice on a step unless a request is in progress.
+
+        Workers that are known to be barred from the step are left out, as are those
+        beyond the limit of one call.
 
         Parameters
         ----------
         key : StepKey
         policy : AdvicePolicy
         candidates : list of str
-            Workers that could run the step.
+            Workers that could run the step, the most useful first.
         now : float
         """
         advice = self._by_step.setdefault(key, _Advice())
-        if now < advice.asked_at + _RETRY_SECONDS:
+        if now < advice.requested_at + _RETRY_SECONDS:
             return
-        if advice.asked and now < advice.lost_at:
+        if advice.pending and now < advice.lost_at:
             return
         candidates = [one for one in candidates if one not in advice.unfit]
         if not candidates:
             return
         candidates = candidates[:_WORKERS_PER_CALL]
         expected = policy.expected_seconds(len(candidates))
-        advice.asked = candidates
-        advice.asked_at = now
+        advice.pending = candidates
+        advice.requested_at = now
         advice.lost_at = now + _LOST_FACTOR * expected + _LOST_SECONDS
         self._ask(key, candidates, expected)
 
-    def note_answer(self, key, tickets, policy, now, asked=None):
-        """Keep the tickets that an answer has brought.
+    def note_answer(self, key, tickets, policy, now, requested=None):
+        """Store the tickets of an answer.
 
         Parameters
         ----------
@@ -165,38 +182,40 @@
             By worker.
         policy : AdvicePolicy
         now : float
-        asked : list of str, optional
-            Workers of the question; those of the newest one where left out. An answer
-            to an older one, which counted as lost, says nothing of the others: they
-            would be taken for unfit and never asked about again. Told apart by the
-            list itself, since most questions on a step name the same workers.
+        requested : list of str, optional
+            Workers of the request, as the list object that was passed to ``ask``; by
+            default those of the request in progress. An answer to an older request,
+            which counted as lost, says nothing about other workers: they would be
+            recorded as unfit and never asked about again. Requests are compared by
+            identity, since most requests on a step list the same workers.
         """
         advice = self._by_step.get(key)
         if advice is None:
             return
-        asked = advice.asked if asked is None else asked
-        is_late = asked is not advice.asked
-        advice.unfit.update(one for one in asked if one not in tickets)
-        advice.end_question(asked)
+        requested = advice.pending if requested is None else requested
+        is_late = requested is not advice.pending
+        advice.unfit.update(one for one in requested if one not in tickets)
+        advice.end_request(requested)
         if is_late and now <= advice.valid_until:
-            # A newer answer has come before, on workers that were not known then.
+            # A newer request, which may include workers that joined later, was
+            # answered first; its tickets are kept.
             return
         advice.tickets = tickets
         advice.valid_until = now + policy.valid_seconds - _TICKET_SLACK_SECONDS
 
-    def note_failure(self, key, asked=None):
-        """Let the step be asked for again; see ``note_answer``."""
+    def note_failure(self, key, requested=None):
+        """Allow a new request on a step after one failed; see ``note_answer``."""
         advice = self._by_step.get(key)
         if advice is not None:
-            advice.end_question(advice.asked if asked is None else asked)
+            advice.end_request(advice.pending if requested is None else requested)
 
     def drop_ticket(self, key, worker):
-        """Forget a ticket that its worker refused."""
+        """Remove a ticket that its worker refused."""
         advice = self._by_step.get(key)
         if advice is not None:
             advice.tickets.pop(worker, None)
 
     def forget(self, identifier):
-        """Drop the steps of a job that is over."""
+        """Remove the advice on all steps of a job."""
         for key in [key for key in self._by_step if key.job == identifier]:
             del self._by_step[key]
--- a/papayapick/pool/advice_manager.py
+++ b/papayapick/pool/advice_manager.py
@@ -1,4 +1,4 @@
-"""Ask for advice on steps, ahead of need, through the hosts that have time."""
+"""Requests for advice on steps, sent before the tickets are needed."""
 
 from papayapick.placement.progress import projected_rest
 from papayapick.pool.advice_cache import AdviceCache
@@ -8,16 +8,17 @@
 __all__ = ["AdviceManager"]
 
 # An order is sent and carried out within this time of the decision.
-_AHEAD_SECONDS = 0.3
-# A question on a step of the next lower priority lets others go first for so long, and
-# one on a step that does not wait yet for so much longer: an urgent step would wait
-# behind questions of a second each, and a patient one has its turn all the same.
+_ORDER_SECONDS = 0.3
+# A request yields to requests made up to _PRIORITY_SECONDS later for each level by
+# which its step's priority is lower, and to those made _PREFETCH_DELAY_SECONDS later
+# if its step is not waiting yet. Urgent steps would otherwise wait behind requests of a
+# second each; the limited delay ensures that no request is starved.
 _PRIORITY_SECONDS = 0.5
-_ASKED_AHEAD_SECONDS = 1.0
+_PREFETCH_DELAY_SECONDS = 1.0
 
 
 class AdviceManager:
-    """Want advice where it can be used, and take in the answers.
+    """Request advice on steps that can use it, and cache the answers.
 
     Parameters
     ----------
@@ -26,35 +27,35 @@
     Attributes
     ----------
     is_saturated : bool
-        More steps wait for advice than the pool has room for: a new one waits for
-        its turn.
+        Whether more steps wait for advice than the pool has capacity for, so that
+        advice on a new step is not requested until its turn.
     """
 
     __slots__ = ("_cache", "_owner", "is_saturated")
 
     def __init__(self, owner):
         self._owner = owner
-        self._cache = AdviceCache(self._ask)
+        self._cache = AdviceCache(self._send_request)
         self.is_saturated = False
 
     def tickets(self, step, now):
-        """Return the valid tickets of a step by worker, or None."""
+        """Return the valid tickets of a step by worker, or None if there are none."""
         return self._cache.tickets(step.key, step.job.queue.advice, now)
 
     def usable_until(self, step):
-        """Return when the tickets of a step are too old to be sent."""
+        """Return the time after which a step's tickets must not be sent."""
         return self._cache.usable_until(step.key)
 
     def drop_ticket(self, run):
-        """Forget the ticket of a start that its worker refused for it."""
+        """Remove the ticket of a start that its worker refused as invalid."""
         self._cache.drop_ticket(run.key.step_key, run.worker)
 
     def forget(self, identifier):
-        """Drop what is known of the steps of a job that is over."""
+        """Remove the advice on all steps of a job that was removed."""
         self._cache.forget(identifier)
 
     def request_for_job(self, job, now):
-        """Ask for advice on the steps of a job that are ready."""
+        """Request advice on the ready steps of a new job, unless saturated."""
         if job.is_final or self.is_saturated:
             return
         for step in job.steps():
@@ -62,16 +63,17 @@
                 self.request_if_useful(step, now)
 
     def request_if_useful(self, step, now):
-        """Ask for advice on a step where it can be used."""
+        """Request advice on a step if its queue needs it and the step can use it."""
         if step.job.queue.advice is not None and self.is_useful(step):
             self.request(step, now)
 
     def is_useful(self, step, may_fit=True):
         """Return whether advice on a step can be used now.
 
-        A ticket ages: once the workers are known that may not run the step, it is
-        asked for again only where one of the others can take a task of it. Steps that
-        fit nowhere would be asked about for ever, and use up the turns of those behind.
+        Tickets expire. Once it is known which workers may not run the step, new ones
+        are requested only if one of the other workers has capacity for a task of it.
+        Otherwise advice on steps that fit nowhere would be requested over and over,
+        and would delay the requests for other steps.
         """
         if not self._cache.is_answered(step.key):
             return True
@@ -80,35 +82,35 @@
         return self._owner.rooms.has_free(step, self._cache.unfit(step.key))
 
     def known_fit(self, step):
-        """Return the workers that may run a step by the last answer; may be none."""
+        """Return the tickets of the last answer by worker, also expired ones."""
         return self._cache.known_fit(step.key)
 
     def renew(self, step, free_in, now):
-        """Ask again in time for tickets that will be too old when they are needed.
+        """Request new tickets if the present ones expire before they can be used.
 
-        Asked for when they are, the room that was held for the step would come free
-        while there are none.
+        Requested only after they have expired, new ones could arrive later than the
+        capacity that is held for the step becomes free.
 
         Parameters
         ----------
         step : StepState
         free_in : float
-            Seconds until the room that is held for it is free.
+            Seconds until the capacity that is held for the step is free.
         now : float
         """
         policy = step.job.queue.advice
         if policy is None:
             return
-        expected = policy.expected_seconds(len(self._owner.rooms)) + _AHEAD_SECONDS
+        expected = policy.expected_seconds(len(self._owner.rooms)) + _ORDER_SECONDS
         if free_in < expected and self._cache.valid_seconds(step.key, now) < expected:
             self.request(step, now)
 
     def status(self, step, now):
-        """Return how far the advice on a step is."""
+        """Return the AdviceStatus of a step."""
         return self._cache.status(step.key, now)
 
     def request(self, step, now):
-        """Ask for advice on a step unless that is under way."""
+        """Request advice on a step unless a request is in progress."""
         status = self.status(step, now)
         if status.is_lost:
             ADVICE_LOST.write(
@@ -122,10 +124,10 @@
         )
 
     def _candidates(self, step):
-        """Return the workers to ask about, those that can take a task soonest first.
+        """Return the workers to include in a request, those with free capacity first.
 
-        A pool may have more workers than one call names. In the order of the list, each
-        step would wait for the same first ones while the others stand idle.
+        A pool may have more workers than one call accepts. In the order of the list,
+        every step would wait for the same first workers while the others are idle.
         """
         rooms = [
             room
@@ -136,7 +138,7 @@
         return [room.worker for room in rooms]
 
     def prefetch(self, now):
-        """Ask for the advice on a step while the one before it is about to end."""
+        """Request advice on steps whose preceding steps are about to end."""
         for job in self._owner.book.live_jobs():
             if job.queue.advice is None:
                 continue
@@ -144,35 +146,35 @@
                 for step in steps:
                     if step.is_ready or not step.step.after:
                         continue
-                    rest = max(
-                        self._rest_seconds(steps[number], now)
+                    remaining = max(
+                        self._remaining_seconds(steps[number], now)
                         for number in step.step.after
                     )
                     workers = len(self._owner.rooms)
                     expected = job.queue.advice.expected_seconds(workers)
-                    if rest < expected + _AHEAD_SECONDS:
+                    if remaining < expected + _ORDER_SECONDS:
                         self.request_if_useful(step, now)
 
     @staticmethod
-    def _rest_seconds(step, now):
-        """Return how long a step may still run, going by its progress."""
+    def _remaining_seconds(step, now):
+        """Return for how many seconds a step may still run, judging by its progress."""
         if step.is_done:
             return 0.0
         if not step.is_ready or step.waiting:
             return float("inf")
-        rest = 0.0
+        remaining = 0.0
         for task in step.tasks:
             if task.is_done:
                 continue
             if not task.runs:
-                # Kept back after a takeover: it may run at a worker that has not
-                # answered yet, and is no sign that its step is about to end.
+                # The task is held after a takeover, as it may run on a worker that has
+                # not reported yet; its end can't be predicted.
                 return float("inf")
-            rests = [projected_rest(step, run, now) for run in task.runs]
-            rest = max(rest, *rests)
-        return rest
+            estimates = [projected_rest(step, run, now) for run in task.runs]
+            remaining = max(remaining, *estimates)
+        return remaining
 
-    def _ask(self, key, workers, expected):
+    def _send_request(self, key, workers, expected):
         step = self._owner.book.step_of(key)
         future = self._owner.host.advice.ask(
             key,
@@ -181,12 +183,12 @@
             _delay_seconds(step),
             lambda: self._is_needed(step),
         )
-        future.add_done_callback(lambda done: self._note(key, workers, done))
+        future.add_done_callback(lambda done: self._handle_answer(key, workers, done))
 
     def _is_needed(self, step):
         return not (self._owner.is_stopped or step.job.is_final or step.is_done)
 
-    def _note(self, key, workers, done):
+    def _handle_answer(self, key, workers, done):
         error = done.exception()
         with self._owner.lock:
             step = self._owner.book.step_of(key)
@@ -209,6 +211,6 @@
 
 
 def _delay_seconds(step):
-    """Return by how much later other questions may go before one on a step."""
-    patience = step.job.queue.priority * _PRIORITY_SECONDS
-    return patience if step.waiting else patience + _ASKED_AHEAD_SECONDS
+    """Return how much later another request may be made and still be sent first."""
+    delay = step.job.queue.priority * _PRIORITY_SECONDS
+    return delay if step.waiting else delay + _PREFETCH_DELAY_SECONDS
--- a/papayapick/pool/run_monitor.py
+++ b/papayapick/pool/run_monitor.py
@@ -1,4 +1,8 @@
-"""Move runs off sick workers, and use such workers last."""
+"""Detection of stalled and slow runs, and of the workers that cause them.
+
+A run that stalls or falls far behind is stopped, so that its task starts on another
+worker, and its worker is marked as suspect and used last.
+"""
 
 from papayapick.placement.progress import (
     REPLACED_LIMIT,
@@ -16,12 +20,12 @@
 
 
 class RunMonitor:
-    """Act on what the progress of runs and their ends tell of workers.
+    """Watch the progress and outcome of runs, and act on slow or failing workers.
 
     Parameters
     ----------
     owner : PoolOwner
-        Its lock is held by the caller.
+        Its lock must be held by the caller of every method.
     """
 
     __slots__ = ("_failures", "_owner", "_slowness")
@@ -32,9 +36,10 @@
         self._slowness = SlownessWatch()
 
     def replace(self, now):
-        """Stop runs that stand still or lag far behind, to start them elsewhere.
+        """Stop runs that are stalled or far too slow, to start them elsewhere.
 
-        Where the step allows copies, the next copy is started beside instead.
+        If the step allows copies, the run is not stopped: ``Decisions.start_copies``
+        starts a second copy on another worker.
         """
         for room in self._owner.rooms:
             room.end_suspicion(now)
@@ -50,15 +55,17 @@
                         self._replace(step, run, now)
 
     def note_end(self, step, run, end, room, now):
-        """Take in an end that a worker has listed.
+        """Update the failure and slowness statistics after the end of a run.
 
         Parameters
         ----------
         step : StepState or None
+            None if the job is unknown.
         run : Run or None
-            None where this owner did not know it.
+            None if this owner did not know the run.
         end : EndReport
         room : WorkerRoom
+            Of the worker that reported the end.
         now : float
         """
         is_failed = end.outcome == EndOutcome.FAILED
@@ -71,7 +78,7 @@
             self._slowness.note_sound(run, now)
 
     def forget(self, worker):
-        """Drop what is known of a worker that is gone."""
+        """Drop the statistics of a worker that was removed."""
         self._failures.forget(worker)
         self._slowness.forget(worker)
 
@@ -96,7 +103,7 @@
         self._owner.orders.stop_once(run, now)
 
     def _suspect(self, room, reason, now, is_failing=False):
-        """Use a worker last for a while, or not at all where it fails everything."""
+        """Use a worker last for some time, or not at all if it fails all its runs."""
         if not room.is_suspected:
             WORKER_SUSPECTED.write(
                 worker=room.worker, reason=reason, seconds=SUSPECT_SECONDS
@@ -104,7 +111,7 @@
         room.suspect(now, SUSPECT_SECONDS, is_failing)
 
     def _has_alternative(self, step, run):
-        """Return whether another worker has room for the task of a run now."""
+        """Return whether another healthy worker has capacity for a run's task now."""
         allowed = None
         if step.job.queue.advice is not None:
             allowed = self._owner.advice_manager.tickets(step, now=self._owner.now())
--- a/tests/pool/test_advice_cache.py
+++ b/tests/pool/test_advice_cache.py
@@ -94,19 +94,19 @@
     cache.request(KEY, POLICY, ["w1", "w2"], 10.0)
     cache.request(KEY, POLICY, ["w1", "w2", "w3"], 20.0)
     first, second = (workers for _, workers in asked.calls)
-    cache.note_answer(KEY, {"w1": "t1"}, POLICY, 20.1, asked=first)
+    cache.note_answer(KEY, {"w1": "t1"}, POLICY, 20.1, requested=first)
     assert cache.unfit(KEY) == {"w2"}
     # The second question is still under way.
     cache.request(KEY, POLICY, ["w1", "w3"], 20.5)
     assert len(asked.calls) == 2
-    cache.note_answer(KEY, {"w1": "t1", "w3": "t3"}, POLICY, 20.6, asked=second)
+    cache.note_answer(KEY, {"w1": "t1", "w3": "t3"}, POLICY, 20.6, requested=second)
     assert cache.tickets(KEY, POLICY, 20.7) == {"w1": "t1", "w3": "t3"}
 
 
 def test_late_failure_does_not_end_the_newer_question(cache, asked):
     cache.request(KEY, POLICY, ["w1"], 10.0)
     cache.request(KEY, POLICY, ["w1", "w2"], 20.0)
-    cache.note_failure(KEY, asked=asked.calls[0][1])
+    cache.note_failure(KEY, requested=asked.calls[0][1])
     cache.request(KEY, POLICY, ["w1", "w2"], 20.5)
     assert len(asked.calls) == 2
 
@@ -121,7 +121,7 @@
     cache = AdviceCache(lambda key, workers, expected: calls.append(workers))
     cache.request(KEY, POLICY, ["w1", "w2"], 10.0)
     cache.request(KEY, POLICY, ["w1", "w2"], 20.0)
-    cache.note_failure(KEY, asked=calls[0])
+    cache.note_failure(KEY, requested=calls[0])
     cache.request(KEY, POLICY, ["w1", "w2"], 20.5)
     assert len(calls) == 2
 
