--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -1,4 +1,4 @@
-"""Send orders to workers and tell the owner what became of them."""
+"""Orders to workers: starts, stops and paces, and the handling of their outcomes."""
 
 import functools
 
@@ -19,8 +19,11 @@
 __all__ = ["OrderSender", "StartOrder"]
 
 
-def _logged(send):
-    """Write a line for an error that nobody foresaw, as nobody reads the future."""
+def _log_errors(send):
+    """Log unexpected errors of a method that runs in an executor.
+
+    The futures of the executors are never read, so that an error would go unnoticed.
+    """
 
     @functools.wraps(send)
     def run(self, link, *args):
@@ -33,14 +36,14 @@
 
 
 class StartOrder:
-    """Hold a start that is to be ordered.
+    """A start that has not been sent yet.
 
     Parameters
     ----------
     run : Run
     payload, checkpoint, ticket : str
     usable_until : float
-        Monotonic seconds after which the worker would refuse the ticket.
+        Monotonic time after which the worker would refuse the ticket.
     """
 
     __slots__ = ("checkpoint", "payload", "run", "ticket", "usable_until")
@@ -56,25 +59,25 @@
 
 
 class OrderSender:
-    """Send starts, stops and paces, each as a task of its own.
+    """Send starts, stops and paces in threads, and process their outcomes.
 
     Parameters
     ----------
     owner : PoolOwner
     executor : concurrent.futures.Executor
-        For starts.
+        Sends starts.
     stop_executor : concurrent.futures.Executor
-        For all other orders.
+        Sends all other orders.
     threads : int
-        Of the first.
+        Number of threads of ``executor``.
     """
 
     __slots__ = (
         "_executor",
         "_owner",
-        "_starts_waiting",
+        "_queued_starts",
         "_stop_executor",
-        "_stops_under_way",
+        "_stops_in_progress",
         "_threads",
     )
 
@@ -83,27 +86,27 @@
         self._executor = executor
         self._stop_executor = stop_executor
         self._threads = threads
-        # Starts that no thread has taken up yet.
-        self._starts_waiting = 0
+        # Number of starts that wait for a thread.
+        self._queued_starts = 0
         # Runs with a stop that waits for a thread or for its answer.
-        self._stops_under_way = set()
+        self._stops_in_progress = set()
 
     def is_backlogged(self):
         """Return whether as many starts wait for a thread as there are threads.
 
-        What is placed then could not leave before calls under way have ended.
+        Starts of tasks placed now could not be sent before calls in progress return.
         """
-        if self._starts_waiting < self._threads:
+        if self._queued_starts < self._threads:
             return False
         ORDERS_HELD_UP.write(
             pool=self._owner.pool,
-            starts=self._starts_waiting,
-            stops=len(self._stops_under_way),
+            starts=self._queued_starts,
+            stops=len(self._stops_in_progress),
         )
         return True
 
     def start(self, link, start):
-        """Order a start.
+        """Send a start to a worker.
 
         Parameters
         ----------
@@ -111,24 +114,31 @@
         start : Start
         """
         with self._owner.lock:
-            self._starts_waiting += 1
+            self._queued_starts += 1
             self._submit(self._executor, self._start, link, start)
 
     def stop(self, link, run):
-        """Order a stop, unless one of this run is under way."""
+        """Send a stop to a worker, unless a stop of this run is in progress."""
         with self._owner.lock:
-            # Ordered anew before the last was sent, stops would pile up faster than
-            # threads can send them.
-            if run not in self._stops_under_way:
-                self._stops_under_way.add(run)
+            # Stops that are repeated before the last one was sent would pile up faster
+            # than the threads can send them.
+            if run not in self._stops_in_progress:
+                self._stops_in_progress.add(run)
                 self._submit(self._stop_executor, self._stop, link, run)
 
     def pace(self, link, run, percent):
-        """Order the share of its processors at which a run works."""
+        """Set the percentage of its processors that a run may use."""
         self._submit(self._stop_executor, self._pace, link, run, percent)
 
     def note_start(self, link, run, outcome):
-        """Take note of what became of an order to start."""
+        """Process the outcome of a start.
+
+        Parameters
+        ----------
+        link : WorkerLink
+        run : Run
+        outcome : StartOutcome
+        """
         STARTS.labels(outcome.value).inc()
         with self._owner.lock:
             room = self._owner.rooms.get(link.worker)
@@ -141,19 +151,19 @@
             elif outcome == StartOutcome.UNKNOWN:
                 if run.phase == RunPhase.ORDERED:
                     run.phase = RunPhase.UNSURE
-                    rest = link.lapse_at - now
+                    remaining = link.lapse_at - now
                     START_UNANSWERED.write(
-                        **run_fields(run), lapse_in_seconds=round(rest, 3)
+                        **run_fields(run), lapse_in_seconds=round(remaining, 3)
                     )
                     self.stop_once(run, now)
             else:
-                self._note_not_started(room, run, outcome, now)
+                self._handle_refusal(room, run, outcome, now)
             self.stop_unneeded()
         if outcome == StartOutcome.FENCED:
             self._owner.report_handler.note_fenced(link)
         self._owner.wake()
 
-    def _note_not_started(self, room, run, outcome, now):
+    def _handle_refusal(self, room, run, outcome, now):
         START_REFUSED.write(
             **run_fields(run),
             reason=outcome.value,
@@ -170,19 +180,22 @@
         self._owner.book.drop(run, now)
 
     def note_stop_confirmed(self, run):
-        """Note that a worker has taken a stop."""
+        """Record that a worker has confirmed a stop."""
         with self._owner.lock:
             run.stop_confirmed = self._owner.now()
 
     def stop_unneeded(self):
-        """Order the stops that the book asks for."""
+        """Send the stops that the job book has requested."""
         now = self._owner.now()
         runs, self._owner.book.to_stop = self._owner.book.to_stop, []
         for run in runs:
             self.stop_once(run, now)
 
     def stop_once(self, run, now):
-        """Order a run to stop, once; its room is taken until its end is sure."""
+        """Send a stop of a run unless one was sent before.
+
+        The run's capacity stays reserved until its end is certain.
+        """
         if run.stop_requested is not None:
             return
         link = self._owner.links_by_worker.get(run.worker)
@@ -193,21 +206,22 @@
 
     def _submit(self, executor, step, *args):
         with self._owner.lock:
-            # Nothing is ordered once the pool was left.
+            # No order may be sent after the pool was released or lost.
             if not self._owner.is_stopped:
                 executor.submit(step, *args)
 
-    @_logged
+    @_log_errors
     def _start(self, link, start):
         owner, run = self._owner, start.run
         with owner.lock:
-            self._starts_waiting -= 1
-            # Stopped before it was sent, given up with its worker's life, or this
-            # process is not sure any more that it owns the pool: the order must not
-            # leave. A run that was given up has been placed again, and would run twice.
-            is_wanted = run.phase == RunPhase.ORDERED and self._is_there(link, run)
+            self._queued_starts -= 1
+            # The order must not be sent if the run was stopped meanwhile, if it was
+            # given up because its worker restarted, or if ownership of the pool is no
+            # longer confirmed. The task of a run that was given up has been placed
+            # again, and would run twice.
+            is_wanted = run.phase == RunPhase.ORDERED and self._is_active(link, run)
             may_send = is_wanted and owner.may_act()
-            # The record took longer than the ticket lasts.
+            # Writing the record may have taken longer than the ticket is valid.
             may_send = may_send and owner.now() < start.usable_until
             lease_end = link.lease_end() if may_send else None
             if lease_end is not None:
@@ -229,23 +243,23 @@
                 start.ticket,
             )
         except Exception:
-            # A failure that nobody foresaw, as in reading the answer. Without an
-            # outcome the run would stay ordered for ever: it is on no list, and its
-            # task waits for its end. As one without an answer it is stopped first.
+            # An unexpected failure, such as in parsing the answer. Without an outcome
+            # the run would stay ORDERED forever: no worker reports it, and its task
+            # waits for its end. Treated as an unanswered start, it is stopped first.
             ORDER_FAILED.write_failure(worker=link.worker)
             return StartOutcome.UNKNOWN
 
-    @_logged
+    @_log_errors
     def _stop(self, link, run):
         try:
-            if self._is_there(link, run):
+            if self._is_active(link, run):
                 self._send_stop(link, run)
         finally:
             with self._owner.lock:
-                self._stops_under_way.discard(run)
+                self._stops_in_progress.discard(run)
 
-    def _is_there(self, link, run):
-        """Return whether the end of a run is not sure yet."""
+    def _is_active(self, link, run):
+        """Return whether a run still reserves capacity on its worker."""
         with self._owner.lock:
             room = self._owner.rooms.get(link.worker)
             return room is not None and room.runs.get(run.name) is run
@@ -255,23 +269,23 @@
         try:
             link.client.stop(run.key, run.attempt, owner.row.epoch)
         except WorkerSilent:
-            # Ordered again by the next tick.
+            # A later tick sends the stop again.
             return
         except CheckFailed as error:
             STOP_REFUSED.write(worker=link.worker, status=error.details["status"])
             return
         self.note_stop_confirmed(run)
         if run.phase == RunPhase.STOPPING and not run.was_seen:
-            # It may never have started; then no end is listed for it, and only a
-            # list asked for from now on shows that its room is free.
+            # The run may never have started. No end is reported for it then, and only
+            # a report requested after the stop shows that its capacity is free.
             link.look_again()
 
-    @_logged
+    @_log_errors
     def _pace(self, link, run, percent):
         try:
             link.client.pace(run.key, run.attempt, percent, self._owner.row.epoch)
         except WorkerSilent as error:
-            # It may have been carried out, or may be later.
+            # The order may have been carried out, or may still be carried out later.
             run.pace, run.has_lost_pace = None, True
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
--- a/papayapick/pool/ownership_status.py
+++ b/papayapick/pool/ownership_status.py
@@ -1,23 +1,25 @@
-"""Judge whether an owner may still decide, or should be replaced."""
+"""Whether an owner may still act for its pool, and whether it should be replaced."""
 
 __all__ = ["CONFIRMATION_VALID_SECONDS", "OwnershipStatus"]
 
-# An owner that had no word for so long whether it still owns the pool orders
-# nothing. Leases last longer, so what runs is not lost by a short pause.
+# An owner whose ownership was not confirmed for this long sends no orders. Leases last
+# longer, so that a short pause does not end the running tasks.
 CONFIRMATION_VALID_SECONDS = 2.0
-# An owner that has just started gives way to a host that is so much larger: the first
-# one to start is not the best, and later the largest is first to notice.
+# Shortly after its process has started, an owner gives way to a host that is larger by
+# this factor: the first host to start is not always the most suitable. Later on, the
+# largest host is the first to notice that an owner failed.
 _LARGER_FACTOR = 1.5
-_FIRST_SECONDS = 10.0
-# The others have answered a beat by then.
-_ACQUAINTED_SECONDS = 1.0
-# Another host had an answer so long after this one had none: then the store is not
-# down for all. Hosts notice an outage within tenths of a second of each other.
+_STARTUP_SECONDS = 10.0
+# The other hosts have answered a heartbeat within this time.
+_PEER_DISCOVERY_SECONDS = 1.0
+# If another host had an answer from the store at least this long after this host lost
+# it, then the store is not down for all: hosts notice an outage within tenths of a
+# second of each other.
 _STORE_MARGIN_SECONDS = 0.4
 
 
 class OwnershipStatus:
-    """Hold the last word that a pool is still its owner's.
+    """Hold when this host's ownership of a pool was last confirmed.
 
     Parameters
     ----------
@@ -26,7 +28,7 @@
     Attributes
     ----------
     is_leaving : bool
-        The owner was told to stop, and asks for a successor.
+        Whether the owner is shutting down and asks for a successor.
     """
 
     __slots__ = ("_confirmed_at", "_host", "_since", "is_leaving")
@@ -38,29 +40,35 @@
 
     @property
     def confirmed_at(self):
-        """Return the monotonic time at which the pool was last known to be its own."""
+        """Return the monotonic time at which ownership was last confirmed."""
         return self._confirmed_at
 
     def is_confirmed(self):
-        """Return whether the last word is recent enough to act upon.
+        """Return whether ownership was confirmed recently enough to send orders.
 
-        A process that was suspended or cut off may have been replaced without
-        knowing. Workers that the new owner reached refuse it; for the others the
-        new owner waits, and this bound makes that wait long enough.
+        A process that was suspended or partitioned may have been replaced without
+        noticing. Workers that the new owner has reached refuse its orders. For the
+        other workers the new owner waits, and this bound makes that wait sufficient.
         """
         age = self._host.clock.monotonic() - self._confirmed_at
         return age < CONFIRMATION_VALID_SECONDS
 
     def invalidate(self):
-        """Act no more until there is a new word."""
+        """Send no more orders until ownership is confirmed again."""
         self._confirmed_at = float("-inf")
 
     def note_peer_answer(self, peer, asked_at):
-        """Take in that a peer knows of no newer owner.
+        """Count a peer that knows of no newer owner as a confirmation.
 
-        A host that has lately had word from the store confirms this owner as well
-        as the store itself would. While the store answers nobody, the owner goes on
-        if most hosts are heard: then nobody can take over either.
+        A peer that recently had an answer from the store confirms the ownership as
+        well as the store itself. While the store is down for all hosts, the owner
+        continues if most hosts answer: then no other host can take over either.
+
+        Parameters
+        ----------
+        peer : Peer
+        asked_at : float
+            Monotonic time at which the answered heartbeat was sent.
         """
         if peer.store_age < CONFIRMATION_VALID_SECONDS:
             self.note_confirmed(asked_at - peer.store_age)
@@ -68,16 +76,15 @@
             self.note_confirmed(asked_at)
 
     def note_confirmed(self, asked_at):
-        """Note that the pool was still this owner's at a time."""
+        """Record that this host owned the pool at a monotonic time."""
         self._confirmed_at = max(self._confirmed_at, asked_at)
 
     def gives_way(self):
         """Return whether another host should take over.
 
-        An owner that the store does not answer can neither see new jobs nor record
-        ends. While other hosts are answered, one of them does better. This owner
-        goes on until it is replaced: if the store is down for all, nobody else can
-        do more.
+        An owner without access to the store can neither see new jobs nor record the
+        ends of tasks, so a host that has access should replace it. This owner
+        continues until then: if the store is down for all, no host can do better.
         """
         if self.is_leaving or self._has_larger_peer():
             return True
@@ -92,12 +99,12 @@
     def _has_larger_peer(self):
         """Return whether a much larger host of this region should own the pool.
 
-        Only shortly after this process has started, so that hosts that can't agree on
-        who is best hand the pool on for seconds only.
+        Applies only shortly after this process has started. Hosts that can't agree on
+        the most suitable one then hand the pool back and forth for seconds at most.
         """
         now = self._host.clock.monotonic()
-        is_acquainted = now - self._since > _ACQUAINTED_SECONDS
-        if not is_acquainted or now - self._host.started_at > _FIRST_SECONDS:
+        has_met_peers = now - self._since > _PEER_DISCOVERY_SECONDS
+        if not has_met_peers or now - self._host.started_at > _STARTUP_SECONDS:
             return False
         settings = self._host.settings
         return any(
@@ -108,7 +115,7 @@
         )
 
     def is_store_down_for_all(self):
-        """Return whether most hosts are heard, and none of them has the store."""
+        """Return whether most hosts answer and none of them can reach the store."""
         peers, live = self._host.peers.all(), self._host.peers.live()
         if 2 * (len(live) + 1) <= len(peers) + 1:
             return False
--- a/papayapick/pool/reconciliation.py
+++ b/papayapick/pool/reconciliation.py
@@ -1,4 +1,4 @@
-"""Find out, after a takeover, what runs where."""
+"""Reconciliation after a takeover: which tasks may still run, and on which worker."""
 
 from papayapick.pool.events import POOL_SETTLED
 from papayapick.pool.links import LEASE_SECONDS
@@ -7,26 +7,30 @@
 
 __all__ = ["PREDECESSOR_LEASE_SECONDS", "Reconciliation"]
 
-# A worker that did not answer a new owner may run what the old one started there
-# until that lease is over.
+# A worker that has not reported to a new owner may run what the previous owner started
+# there, until the longest lease that the previous owner may have granted has ended.
 PREDECESSOR_LEASE_SECONDS = CONFIRMATION_VALID_SECONDS + LEASE_SECONDS / 0.98
-# What was found at the workers is recorded so long after the last of them answered.
+# The runs that were found on the workers are recorded by this time after the last
+# worker reported.
 _RECORDED_SECONDS = 1.0
 
 
 class Reconciliation:
-    """Keep back tasks that may run unseen, until that is known.
+    """Hold tasks that may already run on a worker that has not reported yet.
+
+    Such tasks are not placed until the reports of the workers, or the end of all
+    earlier leases, show whether they run; placed at once, they could run twice.
 
     Parameters
     ----------
     owner : PoolOwner
     is_journal_exact : bool
-        Whether each start of before is known to have been recorded.
+        Whether every start ordered by earlier owners is known to be recorded.
     """
 
     __slots__ = (
         "_completed_at",
-        "_gone",
+        "_gone_workers",
         "_is_complete",
         "_is_journal_exact",
         "_owner",
@@ -37,59 +41,63 @@
         self._is_journal_exact = is_journal_exact
         self._is_complete = False
         self._completed_at = None
-        # Workers that have crashed or left, as the list of machines tells.
-        self._gone = set()
+        # Workers that have crashed or left, according to the list of machines.
+        self._gone_workers = set()
 
     @property
     def is_journal_exact(self):
-        """Return whether each start of before is known to have been recorded."""
+        """Return whether every start of earlier owners is known to be recorded."""
         return self._is_journal_exact
 
     @property
     def is_complete(self):
-        """Return whether it is known where all tasks of before run."""
+        """Return whether it is known where all tasks of earlier owners run."""
         return self._is_complete
 
     @property
     def knows_starts(self):
-        """Return whether it is known of each job of before that it has begun."""
+        """Return whether it is known for each earlier job if it has begun."""
         return self._is_journal_exact or self._is_complete
 
     def hold_tasks(self):
-        """Keep back what may run unseen.
+        """Hold all tasks that may already run.
 
-        Exact journals name the worker of each start before it is ordered; without
-        one, any task may run on a worker that has not answered.
+        An exact journal names the worker of each start before the start is sent.
+        Without one, any task may run on any worker that has not reported.
         """
         self._owner.book.hold(
             lambda task: bool(task.place) or not self._is_journal_exact
         )
 
     def waits_for(self, worker):
-        """Return whether tasks are kept back for a worker that has not answered."""
-        return not self._is_complete and worker not in self._gone
+        """Return whether tasks are held because a worker has not reported."""
+        return not self._is_complete and worker not in self._gone_workers
 
     def note_worker_gone(self, worker, now):
-        """Keep nothing back for a worker that has crashed or left.
+        """Stop holding tasks because of a worker that has crashed or left.
 
-        Waited for as if it were cut off, it had all tasks of before stand still for
-        the longest lease that it may have, beside workers that are free.
+        If it were treated as unreachable, all tasks of earlier owners would wait for
+        the longest lease that it may have, although other workers are free.
         """
-        self._gone.add(worker)
+        self._gone_workers.add(worker)
         self.release_safe_tasks(now)
 
     def release_safe_tasks(self, now):
-        """Let go what no worker that is still silent can run."""
+        """Release the held tasks that can't run on any worker that is still silent.
+
+        Completes the reconciliation once no task is held and no worker is silent, or
+        once all leases of earlier owners have ended.
+        """
         if self._is_complete:
             return
         silent = sorted(
             link.worker
             for link in self._owner.links_by_worker.values()
-            if not (link.is_inventoried or link.worker in self._gone)
+            if not (link.is_inventoried or link.worker in self._gone_workers)
         )
         is_over = now > self._owner.taken_at + PREDECESSOR_LEASE_SECONDS
         self._owner.book.let_go(
-            lambda task: is_over or self._is_clear(task, bool(silent)), now
+            lambda task: is_over or self._is_safe_to_place(task, bool(silent)), now
         )
         if is_over or not (silent or self._owner.book.has_held):
             self._owner.book.let_all_go(now)
@@ -103,30 +111,30 @@
                 silent=silent,
             )
 
-    def _is_clear(self, task, has_silent):
-        """Return whether a task of before can't run at a worker unseen.
+    def _is_safe_to_place(self, task, has_silent):
+        """Return whether a held task can't run on a worker that has not reported.
 
-        A worker that is leaving may have left the list and run on; its tasks are
-        kept back though all workers of the list have answered.
+        A draining worker may have left the platform's list and still run its tasks.
+        They remain held even if all listed workers have reported.
         """
         if task.place:
             link = self._owner.links_by_worker.get(task.place)
             is_known = link is not None and link.is_inventoried
-            if not (is_known or task.place in self._gone):
+            if not (is_known or task.place in self._gone_workers):
                 return False
             if self._is_journal_exact:
                 return True
-        # Its last start may have left without a record, to any worker, also where an
-        # earlier one is on record.
+        # The last start of the task may have been sent to any worker without a record,
+        # even if an earlier start is recorded.
         return not has_silent
 
     def may_lack_records(self):
-        """Return whether a successor must not trust the records of starts.
+        """Return whether starts may be missing from the records a successor reads.
 
-        An owner that took over from one that ordered starts without records knows
-        them only when all workers have answered, and records what it found then.
-        One that found all starts recorded has nothing to find out: its successor would
-        else keep back all tasks beside one dead worker, and so would the next.
+        An owner that took over without an exact journal knows the running tasks only
+        once all workers have reported, and then records what it found. An owner with
+        an exact journal lacks no records, even while a worker is silent: otherwise one
+        dead worker would make its successor hold all tasks, and the next one again.
         """
         if self._is_journal_exact:
             return False
