--- a/papayapick/pool/journal.py
+++ b/papayapick/pool/journal.py
@@ -1,4 +1,4 @@
-"""Write the progress of jobs to the store in group commits."""
+"""Group commits that write the progress of jobs to the store."""
 
 import threading
 
@@ -19,25 +19,26 @@
 
 JOBS_TABLE = "jobs"
 PROGRESS_TABLE = "progress"
-# Key of the row that puts commits in order; no job has such an id.
+# Key of the row whose version orders the commits; no job has such an id.
 SEQUENCE_KEY = "sequence"
-# Ends the key of the row that cancels a job; the job's own row never changes.
+# Suffix of the key of the row that cancels a job; the job's own row never changes.
 CANCEL_SUFFIX = "!cancel"
-# A transaction takes at most 100 entries, conditions included.
+# A transaction accepts at most 100 entries, including its conditions.
 _ROWS_PER_COMMIT = 60
 _RETRY_SECONDS = 0.15
-# While answers are lost, each costs this wait; a store 60 times slower still answers
-# within it as a rule, and if not, the next try finds what was written.
-_ANSWER_SECONDS = 0.5
-# Least time between two commits: ends come in groups, and each call is paid for.
-_GATHER_SECONDS = 0.01
-# Ends that neither finish a job nor start a task may wait so long: nobody waits for
-# their record, and each call is paid for.
-_GATHER_ENDS_SECONDS = 0.06
+# Timeout of a transaction, which each lost answer costs in full. Even a store that is
+# 60 times slower than usual mostly answers in time; if it does not, the next attempt
+# finds what was written.
+_TRANSACTION_TIMEOUT_SECONDS = 0.5
+# Minimum time between two commits: ends arrive in groups, and each call costs money.
+_BATCH_SECONDS = 0.01
+# Maximum delay of the record of ends that neither finish a job nor start a task: no
+# caller waits for it, and each call costs money.
+_BATCH_ENDS_SECONDS = 0.06
 
 
 class PoolJournal:
-    """Commit what has changed, then acknowledge ends and tell final states.
+    """Commit changed jobs, then send starts, acknowledge ends and publish final states.
 
     Parameters
     ----------
@@ -47,25 +48,25 @@
 
     Notes
     -----
-    Ends are taken in under the owner's lock, so a snapshot of the changed jobs and
-    of the numbers of the last ends, taken under that lock, belong together. Only
-    when the records are durable may the workers forget the ends: else an end whose
-    record is lost would be lost with its owner, and the task would run again.
+    Ends are processed under the owner's lock. A snapshot of the changed jobs and of
+    the numbers of the last ends, taken under that lock, is therefore consistent. The
+    workers may discard the ends only once the records are durable: otherwise an end
+    whose record is lost would be lost with its owner, and the task would run again.
 
-    Commits follow each other strictly: each demands the version of a row that the
-    one before it wrote. A commit without an answer may be applied seconds later;
-    without that row it would put old records over newer ones, and a task whose end
-    was already acknowledged would run again after a takeover.
+    Commits are strictly ordered: each is conditional on the version of the sequence
+    row that the previous one wrote. A commit without an answer may be applied seconds
+    later. Without that condition it would overwrite newer records with old ones, and a
+    task whose end was already acknowledged would run again after a takeover.
     """
 
     __slots__ = (
         "_clock",
         "_commit_lock",
-        "_is_behind_own_write",
         "_owner",
         "_sequence_version",
         "_store",
         "_wakeup",
+        "_was_own_write_applied",
     )
 
     def __init__(self, store, owner, clock):
@@ -73,50 +74,50 @@
         self._owner = owner
         self._clock = clock
         self._wakeup = threading.Event()
-        # The loop and a handover may both commit.
+        # The loop and ``PoolOwner.release`` may commit at the same time.
         self._commit_lock = threading.Lock()
         self._sequence_version = 0
-        self._is_behind_own_write = False
+        self._was_own_write_applied = False
 
     def resume(self, rows):
-        """Go on behind the commits of earlier owners.
+        """Continue the sequence of commits of earlier owners.
 
         Parameters
         ----------
         rows : list of StoredRow
-            All records of the pool.
+            All rows of the pool's partition of the progress table.
         """
         for row in rows:
             if row.key == SEQUENCE_KEY:
                 self._sequence_version = row.version
 
     def wake(self):
-        """Commit soon."""
+        """Make the loop commit soon."""
         self._wakeup.set()
 
     def run(self):
-        """Commit again and again until the owner stops."""
+        """Commit whenever there is something to record, until the owner is stopped."""
         while not self._owner.is_stopped:
             self._clock.wait(self._wakeup, 1.0)
             self._wakeup.clear()
             while not self._owner.is_stopped and self.commit():
-                self._gather()
+                self._wait_for_batch()
 
-    def _gather(self):
-        """Wait for more to commit, shortly where a caller waits for it."""
-        self._owner.pause(_GATHER_SECONDS)
-        rest = _GATHER_ENDS_SECONDS - _GATHER_SECONDS
-        while rest > 0 and not self._owner.decisions.has_urgent_records():
-            self._owner.pause(_GATHER_SECONDS)
-            rest -= _GATHER_SECONDS
+    def _wait_for_batch(self):
+        """Let more records accumulate, but only briefly if a caller waits for one."""
+        self._owner.pause(_BATCH_SECONDS)
+        remaining = _BATCH_ENDS_SECONDS - _BATCH_SECONDS
+        while remaining > 0 and not self._owner.decisions.has_urgent_records():
+            self._owner.pause(_BATCH_SECONDS)
+            remaining -= _BATCH_SECONDS
 
     def commit(self):
-        """Write one batch.
+        """Write one batch of records.
 
         Returns
         -------
         bool
-            Whether more may be waiting.
+            Whether there may be more to commit; False if there was nothing.
         """
         with self._commit_lock:
             return self._commit()
@@ -129,7 +130,8 @@
             writes = roster + [self._write(job) for job in changed]
             statuses = [job.status for job in changed]
             starts = owner.decisions.take_unsent({job.identifier for job in changed})
-            # Ends whose jobs are in a later batch must not be acknowledged yet.
+            # The jobs of some ends may be in a later batch; these ends must not be
+            # acknowledged yet.
             is_all = not owner.book.changed
             ends = [
                 (link, link.processed, link.born)
@@ -145,23 +147,23 @@
                 owner.roster.requeue(roster)
             owner.pause(_RETRY_SECONDS)
             return True
-        # A start is ordered only now: whoever takes over knows where each task may
-        # run, and waits only for workers that are silent and were given some.
+        # Starts are sent only once they are recorded: a successor then knows where each
+        # task may run, and waits only for silent workers that had tasks.
         owner.decisions.send_starts(starts)
         with owner.lock:
             for job, status in zip(changed, statuses, strict=True):
-                is_told = job.durable_status == status
+                was_durable = job.durable_status == status
                 job.durable_status = status
                 if status in JobStatus.FINAL:
                     owner.book.news.add(job.identifier)
-                    if not is_told:
-                        self._note_ended(job, status)
+                    if not was_durable:
+                        self._log_job_end(job, status)
             for link, number, born in ends:
                 link.acknowledge(number, born)
         owner.wake()
         return True
 
-    def _note_ended(self, job, status):
+    def _log_job_end(self, job, status):
         failed = job.failed_task
         COMPLETION_SECONDS.labels(status).observe(self._clock.monotonic() - job.arrived)
         JOB_ENDED.write(
@@ -193,30 +195,30 @@
         )
 
     def _transact(self, writes):
-        """Write a batch; return whether that is sure."""
+        """Write a batch; return whether it is known to be durable."""
         return self._try_transact(writes) or (
-            # An earlier commit had no answer and was applied: at once again, behind
-            # it, since starts and callers wait.
-            self._is_behind_own_write and self._try_transact(writes)
+            # An earlier commit without an answer had been applied. The batch is tried
+            # again at once with the new version, since starts and callers wait.
+            self._was_own_write_applied and self._try_transact(writes)
         )
 
     def _try_transact(self, writes):
-        self._is_behind_own_write = False
+        self._was_own_write_applied = False
         asked_at = self._clock.monotonic()
         pool = self._owner.pool
         sequence = Expectation(
             PROGRESS_TABLE, pool, SEQUENCE_KEY, self._sequence_version
         )
-        mark = RowWrite(PROGRESS_TABLE, pool, SEQUENCE_KEY, {})
+        sequence_write = RowWrite(PROGRESS_TABLE, pool, SEQUENCE_KEY, {})
         try:
             self._sequence_version = self._store.transact(
                 [self._owner.row.expectation, sequence],
-                [*writes, mark],
-                seconds=_ANSWER_SECONDS,
+                [*writes, sequence_write],
+                seconds=_TRANSACTION_TIMEOUT_SECONDS,
             )
         except ConditionFailed as error:
-            if self._was_own_write(error.rows):
-                self._is_behind_own_write = True
+            if self._is_own_write(error.rows):
+                self._was_own_write_applied = True
                 return False
             POOL_LOST.write(
                 pool=pool,
@@ -226,8 +228,8 @@
             self._owner.note_lost()
             return False
         except TableUnavailable as error:
-            # The same records are written again: a write that took effect and is
-            # repeated changes nothing.
+            # The caller writes the same records again. If this write took effect after
+            # all, repeating it changes nothing.
             COMMIT_PUT_OFF.write(
                 pool=pool,
                 records=len(writes),
@@ -240,10 +242,12 @@
         self._owner.ownership_status.note_confirmed(asked_at)
         return True
 
-    def _was_own_write(self, rows):
-        """Return whether an earlier commit without an answer was applied.
+    def _is_own_write(self, rows):
+        """Return whether a condition failed because an own earlier commit was applied.
 
-        Nobody else writes under this epoch; the records are written once more.
+        If the pool's row is unchanged, no other host has taken the pool, and only this
+        owner can have changed the sequence row. Its new version is stored for the next
+        attempt.
         """
         if self._version_of_pool(rows) != self._owner.row.expectation.version:
             return False
--- a/papayapick/pool/reports.py
+++ b/papayapick/pool/reports.py
@@ -1,4 +1,4 @@
-"""What workers say: registrations, runs, ends and answers to orders."""
+"""Data reported by workers: registrations, runs, ends and outcomes of starts."""
 
 import enum
 
@@ -14,18 +14,18 @@
 
 
 class StartOutcome(enum.Enum):
-    """Tell what became of an order to start a task."""
+    """Outcome of an order to start a task."""
 
     STARTED = "started"
-    # An older epoch than the worker has seen: this owner was replaced.
+    # The worker has seen a newer epoch: this owner was replaced.
     FENCED = "fenced"
-    # The run's number is not above that of a run stopped or ended there.
+    # The attempt is not newer than a run of the task that was stopped or ended there.
     OUTDATED = "outdated"
     # The order arrived after the end of the lease that it named.
     EXPIRED = "expired"
     NO_ROOM = "no-room"
     TICKET_INVALID = "ticket-invalid"
-    # Another life of the worker, or one that is unwell; nothing was done.
+    # The worker has restarted since, or is unhealthy; the task did not start.
     REFUSED = "refused"
     NOT_SENT = "not-sent"
     # No answer: the task may run, or may start later.
@@ -33,33 +33,35 @@
 
 
 class EndOutcome:
-    """Name the ways in which a run ends, as workers list them."""
+    """Outcomes of a run, as workers report them."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
+    # The lease ended, or the run was lost with its worker.
     LAPSED = "lapsed"
     # Another member of the gang ended.
     BROKEN = "broken"
-    # The other members of the gang did not come in time.
+    # The other members of the gang did not start in time.
     ALONE = "alone"
 
 
 class Registration:
-    """Hold what a worker has registered of itself.
+    """Registration of a worker.
 
     Parameters
     ----------
     worker, pool, address, zone : str
     capacity : Amounts
     labels : tuple of str
-        Its kind and its rack.
+        Kind of the worker, and its rack.
     is_leaving : bool
-        It takes no new tasks and leaves soon.
+        Whether the worker is draining: it accepts no new tasks and leaves soon.
     leaves_in : float
-        Least seconds that it stays while it is leaving.
+        Seconds for which a draining worker stays at least.
     born : int or None
-        Start of its present life, in Unix milliseconds.
+        Start time of the worker's process, in Unix milliseconds. A restarted worker
+        keeps its id and gets a new start time.
     """
 
     __slots__ = (
@@ -98,7 +100,7 @@
 
 
 class RunReport:
-    """Hold one run that a worker lists.
+    """A run that a worker reports as running.
 
     Parameters
     ----------
@@ -106,10 +108,10 @@
     attempt : int
     checkpoint : str
     percent : int
-        Of its work that is done; of a lasting task, 100 when it is at work.
+        Share of the work that is done; 100 for a lasting task that has started up.
     figure : float or None
-        Tail of the response time in milliseconds for a task that serves,
-        processors in use in millicores for any other; None where there is none.
+        Tail latency in milliseconds for a task that serves requests, processors in
+        use in millicores for any other task; None if it was not measured.
     """
 
     __slots__ = ("attempt", "checkpoint", "figure", "key", "percent")
@@ -123,16 +125,16 @@
 
 
 class EndReport:
-    """Hold one end that a worker lists until it is acknowledged.
+    """The end of a run, which a worker reports until it is acknowledged.
 
     Parameters
     ----------
     number : int
-        Grows by one with each end in the worker's life.
+        Sequence number of the end, counted from the start of the worker's process.
     key : TaskKey
     attempt : int
     outcome : str
-        One of ``EndOutcome``.
+        One of the values of ``EndOutcome``.
     checkpoint : str
     """
 
@@ -147,18 +149,20 @@
 
 
 class WorkerReport:
-    """Hold both lists of a worker.
+    """A worker's report of its runs and of ends that are not acknowledged yet.
 
     Parameters
     ----------
     clock : float
-        Seconds on the worker's clock.
+        Time on the worker's clock, in seconds.
     born : int or None
+        Start time of the worker's process, as in ``Registration``.
     runs : list of RunReport
     ends : list of EndReport
-        Those that are not acknowledged.
+        Ends that are not acknowledged.
     has_more_ends : bool, optional
-        The worker may hold back later ones until some of these are acknowledged.
+        Whether the worker may hold back later ends until some of these are
+        acknowledged.
     """
 
     __slots__ = ("born", "clock", "ends", "has_more_ends", "runs")
@@ -172,7 +176,7 @@
 
 
 def run_fields(run):
-    """Return the fields by which a line of the log names a run."""
+    """Return the fields that identify a run in a log event."""
     return {
         "request_id": run.key.job,
         "step": run.key.step,
--- a/papayapick/pool/roster.py
+++ b/papayapick/pool/roster.py
@@ -1,8 +1,8 @@
-"""Keep the workers of a pool on record, for whoever takes the pool over.
+"""Record of the workers of a pool, for the next owner of the pool.
 
-The platform's list forgets workers while the store is away, and gets them back
-within two seconds of its return. A new owner that went by the list alone would
-think that nothing runs on the others, and start their tasks again.
+The platform's list of workers loses entries while the store is unavailable, and regains
+them within two seconds of its recovery. A new owner that relied on the list alone would
+assume that nothing runs on the missing workers, and start their tasks again.
 """
 
 import zlib
@@ -13,18 +13,19 @@
 
 __all__ = ["WorkerRoster"]
 
-# About 120 bytes a worker; 5,900 of them in 32 rows are 22 KB each, and a row may
-# have 64 KB.
+# With about 120 bytes per worker, 5,900 workers in 32 rows take 22 KB per row; the
+# limit of a row is 64 KB.
 _ROWS = 32
 _PREFIX = "workers-"
 
 
 class WorkerRoster:
-    """Hold the registrations to keep, in rows beside the records of progress.
+    """Hold the registrations of a pool's workers, grouped into rows of the store.
 
     Parameters
     ----------
     table, partition : str
+        Where the rows are stored, beside the records of progress.
     """
 
     __slots__ = ("_changed", "_partition", "_rows", "_table")
@@ -36,19 +37,24 @@
         self._changed = set()
 
     def add(self, registration):
-        """Keep a worker."""
-        row = _row_of(registration.worker)
+        """Add a worker, or update its registration."""
+        row = _row_key(registration.worker)
         self._rows.setdefault(row, {})[registration.worker] = _record(registration)
         self._changed.add(row)
 
     def remove(self, worker):
-        """Drop a worker that is gone."""
-        row = _row_of(worker)
+        """Remove a worker."""
+        row = _row_key(worker)
         if self._rows.get(row, {}).pop(worker, None) is not None:
             self._changed.add(row)
 
     def take_changed(self):
-        """Return the writes of the rows that have changed."""
+        """Return writes of the rows that changed since the last call.
+
+        Returns
+        -------
+        list of RowWrite
+        """
         rows, self._changed = self._changed, set()
         return [
             RowWrite(self._table, self._partition, row, dict(self._rows[row]))
@@ -56,20 +62,22 @@
         ]
 
     def requeue(self, writes):
-        """Keep writes for the next commit."""
+        """Return writes that could not be committed to the next ``take_changed``."""
         self._changed.update(write.key for write in writes)
 
     def restore(self, rows):
-        """Read the rows that an earlier owner has kept.
+        """Load the workers that earlier owners recorded.
 
         Parameters
         ----------
         rows : list of StoredRow
+            All rows of the partition; rows of jobs are ignored.
 
         Returns
         -------
         list of Registration
-            Marked as leaving: the list has not confirmed them yet.
+            Marked as leaving, so that nothing is placed on these workers until the
+            platform's list has confirmed them.
         """
         found = []
         for row in rows:
@@ -79,7 +87,7 @@
         return found
 
 
-def _row_of(worker):
+def _row_key(worker):
     return f"{_PREFIX}{zlib.crc32(worker.encode()) % _ROWS:02}"
 
 
