--- a/tests/pool/test_advice_candidates.py
+++ b/tests/pool/test_advice_candidates.py
@@ -1,4 +1,4 @@
-"""Which workers advice on a step is asked about in a pool larger than one call."""
+"""The workers that a request for advice includes if the pool exceeds one call."""
 
 from types import SimpleNamespace
 
@@ -16,16 +16,18 @@
 
 
 @pytest.fixture
-def asked():
-    """The workers of each question, in order."""
+def requests():
+    """Return the list that receives the workers of each request, in order."""
     return []
 
 
 @pytest.fixture
-def owner(asked):
+def owner(requests):
     host = Host()
     host.queue_of = lambda document: ADVISED
-    host.advice = SimpleNamespace(ask=lambda key, workers, *rest: _Ask(asked, workers))
+    host.advice = SimpleNamespace(
+        ask=lambda key, workers, *rest: _PendingAnswer(requests, workers)
+    )
     for name in _names():
         register(host, name)
     found = owner_of(host)
@@ -33,11 +35,11 @@
     return found
 
 
-class _Ask:
-    """Keep what was asked; no answer comes."""
+class _PendingAnswer:
+    """Record a request that is never answered."""
 
-    def __init__(self, asked, workers):
-        asked.append(workers)
+    def __init__(self, requests, workers):
+        requests.append(workers)
 
     def add_done_callback(self, callback):
         pass
@@ -47,25 +49,25 @@
     return [f"w{number:03}" for number in range(begin, end)]
 
 
-def _ask(owner):
+def _request(owner):
     step = owner.book.step_of(StepKey(ID, 0, 0))
     owner.advice_manager.request(step, owner.host.clock.monotonic())
 
 
-def test_workers_that_are_open_are_asked_about_before_those_that_are_not(owner, asked):
-    """A step waited for the first hundred of the list, most of them silent."""
+def test_open_workers_are_included_before_others(owner, requests):
+    """A step must not wait for the first hundred workers if most of them are silent."""
     for name in _names(90):
         report(owner, name)
-    _ask(owner)
-    assert set(_names(90)) <= set(asked[-1])
-    assert len(asked[-1]) == WORKERS_PER_CALL
+    _request(owner)
+    assert set(_names(90)) <= set(requests[-1])
+    assert len(requests[-1]) == WORKERS_PER_CALL
 
 
-def test_workers_with_room_are_asked_about_before_full_ones(owner, asked):
-    """A step waited for a hundred full workers while twenty others stood idle."""
+def test_workers_with_capacity_are_included_before_full_ones(owner, requests):
+    """A step must not wait for a hundred full workers while twenty others are idle."""
     for name in _names():
         report(owner, name)
     for name in _names(0, WORKERS_PER_CALL):
         owner.rooms.get(name).processors = 0
-    _ask(owner)
-    assert set(_names(WORKERS_PER_CALL)) <= set(asked[-1])
+    _request(owner)
+    assert set(_names(WORKERS_PER_CALL)) <= set(requests[-1])
--- a/tests/pool/test_run_monitor.py
+++ b/tests/pool/test_run_monitor.py
@@ -1,21 +1,21 @@
-"""Runs on sick workers are found by their progress and placed elsewhere."""
+"""Runs on degraded workers are detected by their progress and placed elsewhere."""
 
 import pytest
 
 from tests.pool.standins import Replay
 
 LENGTH = 0.8
-# What callers of the quick queue are promised: one and a half times the work, and half
-# a second.
+# Objective of the queue for short jobs: one and a half times the work plus half a
+# second.
 OBJECTIVE = 1.5 * LENGTH + 0.5
 
 
-def replay(sicken):
-    """Hand in four jobs of six tasks a second, with a sick worker from 1.5 s on."""
+def replay(degrade):
+    """Submit four jobs of six tasks a second; degrade a worker after 1.5 s."""
     load = Replay(workers=8, length=LENGTH)
     for number in range(32):
         if number == 6:
-            sicken(load.workers["w0"])
+            degrade(load.workers["w0"])
         load.hand_in(tasks=6)
         load.run(0.25)
     load.run(3.0)
@@ -26,7 +26,7 @@
     return sum(seconds > OBJECTIVE for seconds in load.took())
 
 
-def stand_still(worker):
+def stall(worker):
     worker.speed = 0.0
 
 
@@ -38,34 +38,34 @@
     worker.is_failing = True
 
 
-def test_sound_workers_keep_all_their_runs():
+def test_healthy_workers_keep_all_their_runs():
     load = replay(lambda worker: None)
     assert load.stops == 0
     assert late(load) == 0
 
 
-@pytest.mark.parametrize("sicken", [stand_still, slow_down])
-def test_no_job_waits_for_a_sick_worker_to_the_end(sicken):
-    # One of eight workers stands still, or works at a sixth of its speed, while its
-    # health is good. Each job with a task on it took as long as the worker was sick:
-    # managers waited ten and five seconds for counts that take one.
-    load = replay(sicken)
+@pytest.mark.parametrize("degrade", [stall, slow_down])
+def test_no_job_waits_for_a_degraded_worker_to_the_end(degrade):
+    # One of eight workers stalls, or works at a sixth of its speed, although it reports
+    # good health. Without the monitor, each job with a task on it takes until the
+    # worker recovers: jobs of one second took ten and five seconds.
+    load = replay(degrade)
     assert load.took()[-1] < 2 * OBJECTIVE
     assert late(load) <= 3
 
 
-def test_worker_that_fails_all_that_it_starts_is_used_last():
-    # A worker fails each task at once. It is then the emptiest, is given more, and
-    # uses up the attempts of every job: 24 starts in six seconds, 16 when it is used
-    # last after failures of two jobs.
+def test_worker_that_fails_all_its_runs_is_used_last():
+    # A worker that fails each task at once is the emptiest, gets more tasks and uses up
+    # the attempts of every job: 24 starts in six seconds, but 16 if it is used last
+    # after failures of two jobs.
     load = replay(fail)
     assert late(load) == 0
     assert len(load.workers["w0"].ends) <= 18
 
 
-def test_task_that_is_longer_than_its_like_is_left_alone():
-    # One task in ten is three times as long as the others. Taken for one on a slow
-    # worker, it was stopped and began anew elsewhere, and its count was late.
+def test_task_that_is_longer_than_its_siblings_is_not_stopped():
+    # One task in ten is three times as long as the others. If its worker is taken for a
+    # slow one, the task is stopped and restarted elsewhere, and its job is late.
     load = Replay(workers=8, length=LENGTH, long_share=0.1)
     for _ in range(24):
         load.hand_in(tasks=6)
@@ -75,9 +75,9 @@
     assert load.took()[-1] < 3 * LENGTH + 0.5
 
 
-def test_task_of_many_minutes_is_moved_twice_at_most():
-    # A report works for an hour: a percent takes half a minute, and it seems to stand
-    # still wherever it runs. Moved for ever it would never be done.
+def test_task_of_an_hour_is_moved_twice_at_most():
+    # A percent of a task of an hour takes half a minute, so that the task seems to
+    # stall wherever it runs. Without a limit it would be moved forever, never done.
     load = Replay(workers=4, length=3600.0)
     load.hand_in(tasks=1)
     load.run(20.0)
--- a/tests/pool/test_takeover_advice.py
+++ b/tests/pool/test_takeover_advice.py
@@ -1,4 +1,4 @@
-"""Advice that waiting tasks need after a takeover."""
+"""Requests for advice on waiting tasks after a takeover."""
 
 from concurrent.futures import Future
 from types import SimpleNamespace
@@ -21,32 +21,34 @@
     taken_over_before_reports,
 )
 
-# A lasting task counts as away for its users from 6 s after its last run; with so many
-# seconds it is back in time after two takeovers in a row.
-BACK_SECONDS = 3.0
+# A lasting task counts as unavailable to its users from 6 s after its last run. If it
+# restarts within this time, it is back in time even after two takeovers in a row.
+RESTART_SECONDS = 3.0
 
 
-def test_lasting_task_that_is_down_at_a_takeover_is_back_within_seconds():
-    """A watcher was away for ten seconds beside free workers, all hosts restarting.
+def test_lasting_task_that_failed_before_a_takeover_restarts_within_seconds():
+    """A failed lasting task must not wait for advice on steps that are not ready.
 
-    Its run failed just before the owner's host was told to stop. The new owner took the
-    progress of the runs that it found as made in no time, thought them about to end and
-    asked for advice on the next step of each job, one after the other, before the step
-    that waited; its question then counted as lost only after 5 s, and the next takeover
-    began anew. `pool settled` after 0.19 s, `step waits` with reason advice and
-    `asked_seconds` 2.45 for 20 steps at once, `advice lost` for 16 next steps.
+    The task fails just before the owner's host is told to stop. If the new owner takes
+    the progress of the runs that it finds as made in no time, it expects them to end
+    soon, and requests advice on the next step of each job before the step that waits.
+    That request then counts as lost only after 5 s, and the next takeover starts over:
+    with all hosts restarting, the task was unavailable for ten seconds beside free
+    workers. The log showed `pool settled` after 0.19 s, `step waits` with reason advice
+    and `asked_seconds` 2.45 for 20 steps at once, and `advice lost` for 16 next steps.
     """
     host, owner = taken_over(running=60)
     took = run_until(host, owner, is_placed(owner, 60), 10.0)
-    assert took < BACK_SECONDS
+    assert took < RESTART_SECONDS
 
 
-def test_what_waits_at_a_takeover_is_asked_about_by_all_hosts():
-    """Twenty steps wait when a host takes the pool, and none has heard it yet.
+def test_requests_after_a_takeover_are_spread_over_all_hosts():
+    """A new owner must not keep all requests to itself before it knows other hosts.
 
-    All questions were given at once to the new owner itself, as the only host that had
-    been heard, and it asks one at a time; the others, heard 0.3 s later, had nothing to
-    ask. 19 questions of 0.93 s took 7.2 s, until they counted as lost.
+    Twenty steps wait when a host takes the pool, and no other host has answered it yet.
+    If all requests are assigned to the new owner at once, which sends one at a time,
+    nothing is left for the others, which answer 0.3 s later: 19 requests of 0.93 s took
+    7.2 s, until they counted as lost.
     """
     host, owner = taken_over(running=0)
     for number in range(1, 19):
@@ -59,29 +61,30 @@
 
 
 @pytest.mark.parametrize("seconds", [0.0, 1.5])
-def test_job_that_was_taken_over_half_done_is_not_taken_for_about_to_end(seconds):
-    """After a takeover, advice was wanted on the next step of each running job.
+def test_half_done_job_is_not_expected_to_end_right_after_a_takeover(seconds):
+    """No advice must be requested on the next step of each running job at a takeover.
 
-    Their tasks were half done when the new owner first saw them; taken as done within
-    no time, they seemed to be about to end. A task of six seconds has three left.
+    Tasks that are half done when the new owner first sees them must not count as done
+    within no time, which makes them look about to end. A task of six seconds has three
+    left.
     """
     host, owner = taken_over(running=4)
     host.clock.advance(seconds)
     with owner.lock:
         owner.advice_manager.prefetch(host.clock.monotonic())
     next_steps = [owner.book.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(4)]
-    asked = [
+    statuses = [
         owner.advice_manager.status(one, host.clock.monotonic()) for one in next_steps
     ]
-    assert [one.asked_seconds for one in asked] == [None] * 4
+    assert [one.asked_seconds for one in statuses] == [None] * 4
 
 
-def test_jobs_whose_workers_have_not_answered_are_not_taken_for_about_to_end():
-    """After a takeover advice was still wanted on the next step of running jobs.
+def test_jobs_are_not_expected_to_end_before_their_workers_have_reported():
+    """Steps with held tasks must not count as ended after a takeover.
 
-    The first worker's answer wakes the owner, and it looks ahead. Tasks at all other
-    workers are kept back: they neither wait nor have a run that is known, and a step
-    without either counted as ended. Each of its jobs' next steps was asked about.
+    The first worker's report triggers a round, which prefetches advice. The tasks of
+    all other workers are held: they are not waiting and have no known run. If a step
+    without either counts as ended, advice is requested on the next step of each job.
     """
     host, owner, runs = taken_over_before_reports(running=60)
     report(owner, "w0", runs["w0"], percent=50)
@@ -91,15 +94,16 @@
     next_steps = [
         owner.book.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(60)
     ]
-    asked = [owner.advice_manager.status(one, now).asked_seconds for one in next_steps]
-    assert sum(one is not None for one in asked) == 0
+    ages = [owner.advice_manager.status(one, now).asked_seconds for one in next_steps]
+    assert sum(one is not None for one in ages) == 0
 
 
-def test_lasting_task_that_fails_soon_after_a_takeover_is_back_within_seconds():
-    """A watcher fails a second and a half after a takeover beside free workers.
+def test_lasting_task_that_fails_soon_after_a_takeover_restarts_within_seconds():
+    """Prefetched advice must not delay a lasting task that fails after a takeover.
 
-    Its question is due after those that were asked as the owner took kept back tasks
-    for ended: dozens of them, of nearly a second each, on nine hosts.
+    It fails a second and a half after the takeover, while workers are free. If held
+    tasks had counted as ended, its request would follow dozens of others, of nearly a
+    second each, on nine hosts.
     """
     host, owner, runs = taken_over_before_reports(running=90)
     report(owner, "w0", runs["w0"], percent=50)
@@ -109,11 +113,11 @@
         report(owner, worker, listed, percent=50)
     run_until(host, owner, lambda: False, 1.5)
     add_job(host, owner, 90, Step(1, Amounts(1000, 10), is_lasting=True), QUEUE)
-    assert run_until(host, owner, is_placed(owner, 90), 10.0) < BACK_SECONDS
+    assert run_until(host, owner, is_placed(owner, 90), 10.0) < RESTART_SECONDS
 
 
-def _questions(monkeypatch, host):
-    """Return the questions that reach the desk, as (key, delay, is_needed)."""
+def _requests(monkeypatch, host):
+    """Return the requests that are dispatched, as (key, delay, is_needed)."""
     found = []
 
     def ask(key, workers, expected, delay, is_needed):
@@ -125,11 +129,11 @@
 
 
 @pytest.fixture
-def asked(monkeypatch):
-    """Return an owner with a patient step and the one after it, and its questions."""
+def two_requests(monkeypatch):
+    """Return an owner, a job of two steps of low priority, and its two requests."""
     host, owner = taken_over(running=0)
     host.advice = SimpleNamespace(ask=None)
-    found = _questions(monkeypatch, host)
+    found = _requests(monkeypatch, host)
     steps = [Step(1, Amounts(1000, 10), 6.0), Step(1, Amounts(1000, 10), after=[0])]
     document = JobDocument(identifier_of(5), "q", "pool", "t", steps, 0.0)
     job = owner.book.add(document, QUEUE, owner.now())
@@ -138,14 +142,14 @@
     return owner, job, found
 
 
-def test_questions_ahead_of_need_and_of_patient_queues_let_others_go_first(asked):
-    owner, job, ((_, waiting, _), (_, ahead, _)) = asked
+def test_prefetches_and_requests_of_low_priority_yield_to_others(two_requests):
+    owner, job, ((_, waiting, _), (_, ahead, _)) = two_requests
     assert 0 < waiting < ahead
 
 
 @pytest.mark.parametrize("end", ["owner", "job"])
-def test_question_is_of_no_need_once_its_owner_or_job_is_over(asked, end):
-    owner, job, ((_, _, is_needed), _) = asked
+def test_request_is_not_needed_once_its_owner_or_job_has_ended(two_requests, end):
+    owner, job, ((_, _, is_needed), _) = two_requests
     assert is_needed()
     if end == "owner":
         owner.stop()
--- a/tests/pool/test_takeover_progress.py
+++ b/tests/pool/test_takeover_progress.py
@@ -1,4 +1,4 @@
-"""What an owner makes of runs that it did not start itself."""
+"""How an owner assesses runs and jobs that earlier owners started."""
 
 from papayapick.jobs import JobDocument, Step, TaskKey
 from papayapick.jobs.records import progress_record, restore_progress
@@ -20,12 +20,12 @@
 from tests.pool.standins import QUEUE
 
 
-def test_tasks_that_were_taken_over_do_not_make_others_seem_slow():
-    """After a takeover, sound runs were stopped as slow and lost what they had done.
+def test_runs_of_an_earlier_owner_do_not_make_others_seem_slow():
+    """Healthy runs must not be stopped as slow after a takeover and lose their work.
 
-    Two tasks of a step ended a tenth of a second after the new owner first saw them.
-    That was taken for all they took, so that a run of the usual three seconds, started
-    by the new owner, seemed to work at a tenth of the usual speed.
+    Two tasks of a step end a tenth of a second after the new owner first sees them. If
+    that counted as their whole duration, a run of the usual three seconds, started by
+    the new owner, would seem to work at a tenth of the usual speed.
     """
     host = host_with_two_workers()
     places = {"0": "w1", "1": "w1"}
@@ -48,7 +48,7 @@
 
 
 def store_other(host, number, accepted_at):
-    """Store a job beside the one that a test is about."""
+    """Store a job in addition to the one that a test is about."""
     identifier = f"{number:016x}"
     step = Step(1, Amounts(1000, 10), 1.0)
     document = JobDocument(identifier, "q", "pool", "t", [step], accepted_at)
@@ -56,10 +56,10 @@
 
 
 def test_job_that_was_late_before_a_takeover_is_late_after_it():
-    """After each takeover, old jobs went before those that could still be in time.
+    """Overdue jobs must not be served before those that can still be in time.
 
-    A new owner took all jobs for handed in just then, so that those that nobody had a
-    use for any more kept fresh ones waiting, takeover after takeover.
+    If a new owner counted all jobs as submitted at its takeover, jobs that are of no
+    use to their callers any more would delay new ones after each takeover.
     """
     host = host_with_two_workers()
     host.clock.advance(60.0)
@@ -74,7 +74,7 @@
     assert (old, fresh) == (Timeliness.OVERDUE, Timeliness.IN_TIME)
 
 
-def test_job_that_a_clock_ahead_accepted_counts_from_the_takeover():
+def test_job_accepted_by_a_host_with_a_clock_ahead_counts_from_the_takeover():
     host = host_with_two_workers()
     document = job(estimate_seconds=1.0)
     document.accepted_at = host.clock.time() + 20.0
@@ -83,11 +83,11 @@
     assert owner.book.get(ID).arrived == host.clock.monotonic()
 
 
-def test_job_is_not_overdue_as_the_clock_of_the_new_owner_is_ahead(monkeypatch):
-    """Fresh jobs came last after a takeover, by a host whose clock had jumped.
+def test_job_is_not_overdue_if_the_clock_of_the_new_owner_is_ahead(monkeypatch):
+    """New jobs must not be served last if the new owner's clock has jumped.
 
     A job was accepted a second ago. The new owner's clock is a minute ahead of that of
-    the host that accepted it, so that it seems of no use to anybody any more.
+    the host that accepted it, by which the job would be overdue.
     """
     host = host_with_two_workers()
     document = job(estimate_seconds=1.0)
@@ -101,11 +101,11 @@
     assert found != Timeliness.OVERDUE
 
 
-def test_task_is_not_moved_more_often_as_owners_follow_each_other():
-    """A long task lost its worker twice under each owner in turn.
+def test_limit_of_moves_of_a_task_holds_across_takeovers():
+    """A long task must not be moved twice under each owner in turn.
 
-    A task is moved twice at most, as one of minutes seems to stand still wherever it
-    is. A successor knew nothing of the moves before it and began to count anew.
+    A task is moved twice at most, as one that takes minutes seems to stall on every
+    worker. The count must be recorded, so that a successor does not start at zero.
     """
     document = job(estimate_seconds=600.0)
     before = JobState(document, QUEUE, 0.0)
@@ -118,11 +118,11 @@
     assert step.tasks[0].replaced == 2
 
 
-def test_task_does_not_go_back_where_it_failed_after_a_takeover():
-    """A task used up its attempts on the worker that fails it, owner after owner.
+def test_task_does_not_return_to_the_worker_that_failed_it_after_a_takeover():
+    """A task must not use up its attempts on a failing worker, owner after owner.
 
-    No task goes back where it failed while another worker may run it, but a new owner
-    is not told where that was.
+    A task avoids workers on which it failed while another one may run it. A new owner
+    knows these workers only if they are recorded.
     """
     host = host_with_two_workers()
     store_job(host, job())
