--- a/tests/pool/test_large_tasks.py
+++ b/tests/pool/test_large_tasks.py
@@ -1,4 +1,4 @@
-"""Large tasks and gangs wait beside smaller ones for the same few workers."""
+"""Large tasks and gangs that compete with small tasks for the same few workers."""
 
 import pytest
 
@@ -10,8 +10,8 @@
 URGENT = Queue("u", "h", "/u/", "pool", 1, 4, 2.2, 1.2, 3.0, False, None)
 PATIENT = Queue("p", "h", "/p/", "pool", 2, 4, 4.0, 3.0, 3.0, False, None)
 
-# Tasks that take longer than their callers say may be placed there until the time at
-# which the room was to be free.
+# Until the time at which the held capacity was expected to be free, tasks that take
+# longer than estimated may be placed there.
 LONGEST_WAIT = 2 * LONG_FACTOR * SECONDS
 
 
@@ -19,12 +19,15 @@
     return Step(tasks, Amounts(100, 10, 1), SECONDS, **fields)
 
 
-def _whole(tasks=1, **fields):
+def _large(tasks=1, **fields):
     return Step(tasks, Amounts(100, 10, 8), SECONDS, **fields)
 
 
-def _load_until(load, identifier, seconds, step, queue):
-    """Hand in a job four times a second until another has begun; return when."""
+def _wait_until_begun(load, identifier, seconds, step, queue):
+    """Submit four jobs a second until a given job has begun; return the seconds.
+
+    Returns None if the job has not begun in time.
+    """
     begun = load.now
     job = load.owner.book.get(identifier)
     while load.now - begun < seconds:
@@ -35,20 +38,20 @@
     return None
 
 
-def _stagger(load, queue):
-    """Fill the workers with small tasks that end one after the other."""
+def _fill_workers(load, queue):
+    """Fill the workers with small tasks that end one after another."""
     for _ in range(40):
         load.hand_in_step(_small(1), queue)
         load.run(0.1)
 
 
-def test_room_made_for_a_large_task_is_not_taken_back_by_what_was_stopped():
-    """Guards against an endless round: what was stopped is placed there again."""
+def test_capacity_freed_for_a_large_task_is_not_taken_by_the_stopped_tasks():
+    """Guards against a cycle in which the stopped tasks are placed there again."""
     load = Replay(workers=2, length=SECONDS, accelerators=8)
     load.hand_in_step(_small(16, has_checkpoints=True), PATIENT)
     load.run(0.5)
-    identifier = load.hand_in_step(_whole(), URGENT)
-    waited = _load_until(
+    identifier = load.hand_in_step(_large(), URGENT)
+    waited = _wait_until_begun(
         load, identifier, 10.0, lambda: _small(2, has_checkpoints=True), PATIENT
     )
     assert waited is not None and waited < 1.0
@@ -56,40 +59,43 @@
 
 
 @pytest.mark.parametrize("queue", [URGENT, PATIENT])
-def test_large_task_has_its_turn_while_small_ones_come_all_the_time(queue):
-    """Guards against a whole worker that never comes free, a small task at a time."""
+def test_large_task_is_not_starved_by_a_stream_of_small_ones(queue):
+    """Guards against a worker that is never free as a whole.
+
+    Each small task that ends there is followed by another one.
+    """
     load = Replay(workers=2, length=SECONDS, long_share=0.3, accelerators=8)
-    _stagger(load, queue)
-    identifier = load.hand_in_step(_whole(), queue)
-    waited = _load_until(load, identifier, 20.0, lambda: _small(1), queue)
+    _fill_workers(load, queue)
+    identifier = load.hand_in_step(_large(), queue)
+    waited = _wait_until_begun(load, identifier, 20.0, lambda: _small(1), queue)
     assert waited is not None and waited < LONGEST_WAIT
 
 
-def test_gang_of_large_tasks_has_its_turn():
-    """Guards against members that never find room at the same moment."""
+def test_gang_of_large_tasks_is_not_starved():
+    """Guards against a gang whose members never find capacity at the same time."""
     load = Replay(workers=3, length=SECONDS, long_share=0.3, accelerators=8)
-    _stagger(load, PATIENT)
-    identifier = load.hand_in_step(_whole(2, is_gang=True), URGENT)
-    waited = _load_until(load, identifier, 20.0, lambda: _small(2), PATIENT)
+    _fill_workers(load, PATIENT)
+    identifier = load.hand_in_step(_large(2, is_gang=True), URGENT)
+    waited = _wait_until_begun(load, identifier, 20.0, lambda: _small(2), PATIENT)
     assert waited is not None and waited < LONGEST_WAIT
 
 
-def test_gang_takes_the_place_of_patient_tasks_that_save_their_progress():
-    """Guards against a gang that waits for the ends of tasks that could be stopped."""
+def test_gang_preempts_tasks_of_lower_priority_with_checkpoints():
+    """Guards against a gang that waits for the end of tasks that could be stopped."""
     load = Replay(workers=2, length=10 * SECONDS, accelerators=8)
     load.hand_in_step(_small(16, has_checkpoints=True), PATIENT)
     load.run(0.5)
-    identifier = load.hand_in_step(_whole(2, is_gang=True), URGENT)
+    identifier = load.hand_in_step(_large(2, is_gang=True), URGENT)
     load.run(1.5)
     assert load.owner.book.get(identifier).status == JobStatus.RUNNING
 
 
-def test_small_task_uses_held_room_until_it_is_needed():
-    """Guards against workers that stand idle while room is held on them."""
+def test_small_task_uses_held_capacity_until_it_is_needed():
+    """Guards against workers that are idle while capacity is held on them."""
     load = Replay(workers=1, length=SECONDS, accelerators=8)
     load.hand_in_step(Step(4, Amounts(100, 10, 1), 4 * SECONDS), URGENT)
     load.run(0.5)
-    load.hand_in_step(_whole(), URGENT)
+    load.hand_in_step(_large(), URGENT)
     load.run(0.1)
     short = load.hand_in_step(Step(1, Amounts(100, 10, 1), 0.5), URGENT)
     long = load.hand_in_step(Step(1, Amounts(100, 10, 1), 20.0), URGENT)
@@ -99,10 +105,10 @@
     assert book.get(long).status == JobStatus.WAITING
 
 
-def test_task_goes_back_where_it_failed_while_others_fill_the_rest():
-    """Guards against a job with nothing running beside a worker that is free."""
+def test_task_returns_to_the_worker_that_failed_it_if_others_are_full():
+    """Guards against a job with no running task while a worker is free."""
     load = Replay(workers=2, length=SECONDS, accelerators=8)
-    other = load.hand_in_step(_whole(2), URGENT)
+    other = load.hand_in_step(_large(2), URGENT)
     load.run(0.5)
     load.workers["w1"].speed = 0.2
     identifier = load.hand_in_step(_small(1), PATIENT)
@@ -115,23 +121,23 @@
     assert load.owner.book.get(identifier).status != JobStatus.WAITING
 
 
-def test_member_of_a_gang_that_failed_somewhere_has_its_choice_first():
+def test_member_of_a_gang_that_failed_on_a_worker_is_placed_first():
     """Guards against a gang that waits because another member took the only place."""
     load = Replay(workers=2, length=SECONDS, accelerators=8)
     with load.owner.lock:
-        load.hand_in_step(_whole(2, is_gang=True), URGENT)
+        load.hand_in_step(_large(2, is_gang=True), URGENT)
         (step,) = load.owner.book.waiting_steps()
         step.tasks[1].failed_on.add("w0")
     load.run(0.2)
     assert [run.worker for run in step.active_runs()] == ["w0", "w1"]
 
 
-def test_hold_is_over_once_its_step_was_placed():
-    """Guards against a step that goes before its equals for good, once it was held."""
+def test_hold_ends_once_its_step_is_placed():
+    """Guards against a step that keeps precedence over its equals after a hold."""
     load = Replay(workers=1, length=SECONDS, accelerators=8)
     load.hand_in_step(_small(8), URGENT)
     load.run(0.5)
-    load.hand_in_step(_whole(), URGENT)
+    load.hand_in_step(_large(), URGENT)
     load.run(0.5)
     (step,) = load.owner.book.waiting_steps()
     assert step.held_on
--- a/tests/pool/test_last_resort.py
+++ b/tests/pool/test_last_resort.py
@@ -1,4 +1,4 @@
-"""Where a task goes that has failed on a worker."""
+"""Placement of a task on a worker on which it has failed, as a last resort."""
 
 from papayapick.jobs import JobDocument, Step
 from papayapick.ledger import Amounts
@@ -11,15 +11,15 @@
 )
 from tests.pool.standins import QUEUE
 
-# A job with nothing running counts as lost from 3 s on; a lasting task from 6 s on.
-AWAY_SECONDS = 6.0
+# A job with no running task counts as lost after 3 s, a lasting task after 6 s.
+UNAVAILABLE_SECONDS = 6.0
 
 
-def test_task_returns_where_it_failed_if_its_siblings_bar_the_others():
-    """A job takes twice its time beside a free worker that may run its last task.
+def test_task_returns_where_it_failed_if_siblings_occupy_the_other_workers():
+    """A job must not take twice its time while a worker is free for its last task.
 
-    One task of its step may run on each worker. It failed on one; the other worker has
-    its sibling, and counted as one that may run it and is only full.
+    Each worker may run one task of the step. The task failed on one worker, and the
+    other one runs its sibling. That worker must not count as merely full.
     """
     host, owner = owner_with(job(tasks=2, tasks_per_worker=1))
     runs = place(owner)
@@ -27,15 +27,15 @@
     by_worker = {run.worker: run.name for run in runs}
     report(owner, "w2", [by_worker["w2"]])
     report(owner, "w1", ends=[(*by_worker["w1"], "failed")])
-    host.clock.advance(AWAY_SECONDS)
+    host.clock.advance(UNAVAILABLE_SECONDS)
     assert [run.worker for run in place(owner)] == ["w1"]
 
 
-def test_task_returns_where_it_failed_if_the_others_leave():
-    """A job has nothing running while the only other worker drains, which may be long.
+def test_task_returns_where_it_failed_if_the_other_workers_are_draining():
+    """A task must not wait while the only other worker drains, which may take long.
 
-    Nothing new is placed on a worker that is leaving, but it counted as one that will
-    have room for the task some time.
+    Nothing new is placed on a draining worker, so that it must not count as one that
+    will have capacity for the task.
     """
     host, owner = owner_with(job())
     (run,) = place(owner)
@@ -43,21 +43,24 @@
     owner.links_by_worker[other].registration.is_leaving = True
     report(owner, other)
     report(owner, run.worker, ends=[(*run.name, "failed")])
-    host.clock.advance(AWAY_SECONDS)
+    host.clock.advance(UNAVAILABLE_SECONDS)
     assert len(place(owner)) == 1
 
 
-def test_nobody_is_stopped_for_a_task_that_would_not_use_the_room():
-    """Patient tasks were stopped every 0.8 s for a task that did not take their room.
+def test_no_run_is_stopped_for_a_task_that_would_not_use_its_capacity():
+    """Tasks of lower priority must not be stopped on a worker that the task avoids.
 
-    It had failed on their worker, and waited for another one that was full.
+    The task has failed on that worker and waits for another one, which is full. Tasks
+    were stopped every 0.8 s and placed again.
     """
     host, owner = owner_with(job())
     (step,) = owner.book.waiting_steps()
     step.tasks[0].failed_on.add("w1")
     owner.rooms.get("w2").processors = 0
-    patient = JobDocument("1" * 16, "q", "pool", "t", [Step(4, Amounts(1000, 10))], 0.0)
-    owner.book.add(patient, QUEUE, host.clock.monotonic())
+    low_priority = JobDocument(
+        "1" * 16, "q", "pool", "t", [Step(4, Amounts(1000, 10))], 0.0
+    )
+    owner.book.add(low_priority, QUEUE, host.clock.monotonic())
     (other,) = (one for one in owner.book.waiting_steps() if one is not step)
     for index in range(4):
         run = owner.decisions._begin(other, index, "w1", None)
--- a/tests/pool/test_ownership_status.py
+++ b/tests/pool/test_ownership_status.py
@@ -1,4 +1,4 @@
-"""When an owner goes on, gives way, or orders nothing."""
+"""Whether an owner may act, and whether it should be replaced."""
 
 import pytest
 
@@ -23,8 +23,8 @@
         self.store_age = store_age
 
 
-def test_owner_gives_way_only_if_others_have_the_store(host):
-    """Nobody decides while the store is down for all: the owner had given way."""
+def test_owner_gives_way_only_if_others_can_reach_the_store(host):
+    """An owner must not give way while the store is down for all hosts."""
     owner = owner_of(host)
     now = host.clock.monotonic()
     assert not owner.ownership_status.gives_way()
@@ -52,7 +52,7 @@
 def test_owner_gives_way_to_a_much_larger_host_at_the_start(
     host, processors, region, store_age, since_start, gives_way
 ):
-    """The smallest host started first and owned the pool for the rest of the day."""
+    """A small host that starts first must not keep the pool from much larger ones."""
     owner = owner_of(host)
     host.clock.advance(since_start)
     peer = FakePeer(host.clock.monotonic(), store_age, processors)
@@ -61,7 +61,7 @@
     assert owner.ownership_status.gives_way() is gives_way
 
 
-def test_owner_that_heard_nothing_for_long_orders_nothing(host):
+def test_owner_without_a_recent_confirmation_sends_no_orders(host):
     owner = owner_of(host)
     assert owner.may_act()
     host.clock.advance(2.1)
@@ -70,11 +70,11 @@
     assert owner.may_act()
 
 
-def test_owner_that_leaves_goes_on_until_it_is_replaced(host):
-    """Jobs wait for seconds at each planned restart while the store is slow.
+def test_leaving_owner_continues_until_it_is_replaced(host):
+    """Jobs must not wait for seconds at each planned restart while the store is slow.
 
-    The owner gave the pool up as it was told to stop; the next one had to take it
-    and read its state first.
+    If the owner released the pool as soon as it is asked to stop, the next one would
+    have to take the pool and read its state first.
     """
     owner = owner_of(host)
     owner.request_successor()
--- a/tests/pool/test_reconciliation.py
+++ b/tests/pool/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""What is kept back as one owner follows another."""
+"""Tasks that are held after takeovers."""
 
 import json
 
@@ -20,12 +20,12 @@
     store_job,
 )
 
-# A lasting task counts as away from 6 s after its last run.
-AWAY_SECONDS = 6.0
+# A lasting task counts as unavailable from 6 s after its last run.
+UNAVAILABLE_SECONDS = 6.0
 
 
-def _decide(host, owner, seconds, workers):
-    """Let an owner decide as its workers answer; return the runs it placed."""
+def _run_rounds(host, owner, seconds, workers):
+    """Run scheduling rounds while some workers report; return the placed runs."""
     placed = []
     for _ in range(round(seconds / 0.1)):
         host.clock.advance(0.1)
@@ -38,37 +38,37 @@
     return placed
 
 
-def test_lasting_task_is_not_kept_back_by_a_dead_worker_takeover_after_takeover():
-    """A watcher stays away as all hosts are restarted, though no record is missing.
+def test_dead_worker_does_not_hold_a_lasting_task_in_successive_takeovers():
+    """A lasting task must restart while all hosts are restarted in turn.
 
-    One worker crashed before the first takeover and never answers a new owner. Each
-    owner recorded all its starts, yet it says that records may be missing until it
-    knows all workers. So its successor keeps back all tasks of before, also one that
-    runs nowhere on record, and has not settled when the next one takes the pool.
+    One worker crashed before the first takeover and never reports. Each owner recorded
+    all its starts. If it nevertheless announced that records may be missing until all
+    workers have reported, its successor would hold all tasks, even one that runs
+    nowhere according to the records, and would be replaced before it releases them.
     """
     host = host_with_two_workers()
     register(host, "w3")
     first = owner_of(host, is_journal_exact=True)
-    _decide(host, first, 4.0, ("w1", "w2"))
+    _run_rounds(host, first, 4.0, ("w1", "w2"))
     step = Step(1, Amounts(1000, 10), is_lasting=True)
     failed = {"attempts": {"0": 1}, "failed": {"0": [1]}}
     record = {"status": "running", "occurrences": {"0": [failed]}}
     store_job(host, JobDocument(ID, "q", "pool", "t", [step], 0.0), record)
     owner, seconds = first, 0.0
-    while seconds <= AWAY_SECONDS:
+    while seconds <= UNAVAILABLE_SECONDS:
         owner = owner_of(host, is_journal_exact=not owner.may_lack_records())
-        if _decide(host, owner, 3.5, ("w1", "w2")):
+        if _run_rounds(host, owner, 3.5, ("w1", "w2")):
             break
         seconds += 3.5
-    assert seconds < AWAY_SECONDS
+    assert seconds < UNAVAILABLE_SECONDS
 
 
 @pytest.mark.parametrize("is_journal_exact", [True, False])
-def test_task_is_not_kept_back_for_a_worker_whose_life_is_over(is_journal_exact):
-    """A count stands still after a takeover, though all workers have answered.
+def test_task_is_not_held_for_a_worker_that_was_replaced(is_journal_exact):
+    """A task must not be held after a takeover once all workers have answered.
 
-    Another life answers at the address of the worker that ran it, and says so. The new
-    owner waited all the same, as for a worker that is cut off.
+    Another worker answers at the address of the one that ran the task. A new owner must
+    not wait for the latter as for an unreachable worker.
     """
     host = host_with_two_workers()
     store_job(host, job(), started_record("w2"))
@@ -79,11 +79,12 @@
     assert [run.worker for run in place(owner)] == ["w1"]
 
 
-def test_task_that_is_kept_back_stays_on_record_for_the_next_owner():
-    """A task runs twice after two takeovers beside a worker that is cut off.
+def test_held_task_remains_recorded_for_the_next_owner():
+    """A task must not run twice after two takeovers while its worker is unreachable.
 
-    The first new owner kept the task back, and recorded the progress of another task of
-    the job without the worker of this one. The next owner placed it at once.
+    The first new owner holds the task and records the progress of another task of the
+    job. The record must still name the worker of the held task, or the next owner
+    would place it at once.
     """
     host = host_with_two_workers()
     register(host, "w3")
@@ -103,11 +104,11 @@
     assert place(second) == []
 
 
-def test_older_run_does_not_free_a_task_that_is_kept_back():
-    """A task runs twice after a takeover beside a worker that is cut off.
+def test_older_run_does_not_release_a_held_task():
+    """A task must not run twice after a takeover while its worker is unreachable.
 
-    An order that was carried out late had begun an older run of it on a second worker,
-    which answered the new owner; the run on record went on behind the cut.
+    A delayed order started an older run of the task on a second worker, which reports
+    to the new owner. The recorded run continues on the unreachable worker.
     """
     host = host_with_two_workers()
     store_job(host, job(), started_record("w1", attempts={"0": 2}))
