--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -1,4 +1,4 @@
-"""Commits of progress: in order, and fenced."""
+"""Commits of progress: their order, and fencing by the pool's row."""
 
 import threading
 
@@ -19,22 +19,26 @@
 IDS = [f"{number:016x}" for number in range(200)]
 
 
-class Store:
-    """Keep rows by version; hold transactions back by a script."""
+class FakeStore:
+    """Store of versioned rows whose transactions follow a script.
+
+    Each entry of ``script`` decides on one transaction: "apply" it, apply it but "lose"
+    the answer, or keep it to be applied "later".
+    """
 
     def __init__(self):
         self.rows = {}
         self.version = 0
         self.script = []
-        self.late = []
+        self.delayed = []
 
     def transact(self, expectations, writes, seconds=1.0):
-        how = self.script.pop(0) if self.script else "apply"
-        if how == "later":
-            self.late.append((expectations, writes))
+        outcome = self.script.pop(0) if self.script else "apply"
+        if outcome == "later":
+            self.delayed.append((expectations, writes))
             raise TableUnavailable()
         version = self.apply(expectations, writes)
-        if how == "lose":
+        if outcome == "lose":
             raise TableUnavailable()
         return version
 
@@ -56,7 +60,7 @@
         return self.rows[(PROGRESS_TABLE, identifier)].value
 
 
-class Link:
+class FakeLink:
     def __init__(self):
         self.processed = self.acknowledged = 0
         self.born = None
@@ -65,13 +69,13 @@
         self.acknowledged = number
 
 
-class Owner:
-    """Hold what the journal asks of an owner."""
+class FakeOwner:
+    """The part of an owner that the journal uses."""
 
     def __init__(self, store):
         self.lock = threading.RLock()
         self.book = JobBook()
-        self.link = Link()
+        self.link = FakeLink()
         self.roster = WorkerRoster(PROGRESS_TABLE, "pool")
         version = store.apply([], [RowWrite(CELL_TABLE, "pool", "owner", {})])
         self.row = PoolRow("pool", "h1", 1, "a:1", version)
@@ -112,12 +116,12 @@
 
 @pytest.fixture
 def store():
-    return Store()
+    return FakeStore()
 
 
 @pytest.fixture
 def owner(store):
-    return Owner(store)
+    return FakeOwner(store)
 
 
 @pytest.fixture
@@ -139,7 +143,7 @@
 
 
 def test_ends_are_acknowledged_only_when_recorded(store, owner, journal):
-    """A finished task runs again: its worker had forgotten the end too early."""
+    """A task must not run again because its worker discarded its end too early."""
     _, runs = _job(owner)
     _done(owner, runs[0])
     store.script = ["later"]
@@ -151,10 +155,10 @@
 
 
 def test_commit_that_is_applied_late_changes_nothing(store, owner, journal):
-    """A refresh runs twice after a takeover.
+    """A task must not run twice because a delayed commit overwrites a newer record.
 
-    A commit had no answer and was applied seconds later, over the record of an end
-    that the worker had been allowed to forget. The successor started the task anew.
+    A commit without an answer may be applied seconds later. If it replaced the record
+    of an end that is already acknowledged, a successor would start the task again.
     """
     _, runs = _job(owner)
     store.script = ["later"]
@@ -163,7 +167,7 @@
     journal.commit()
     assert owner.link.acknowledged == 1
     with pytest.raises(ConditionFailed):
-        store.apply(*store.late.pop())
+        store.apply(*store.delayed.pop())
     assert store.record(IDS[0])["occurrences"]["0"][0]["done"] == "1"
 
 
@@ -178,7 +182,7 @@
     assert owner.link.acknowledged == 1
 
 
-def test_pool_that_was_taken_is_noticed(store, owner, journal):
+def test_loss_of_the_pool_is_detected_by_a_commit(store, owner, journal):
     _job(owner)
     store.apply([], [RowWrite(CELL_TABLE, "pool", "owner", {})])
     journal.commit()
@@ -186,7 +190,7 @@
     assert (PROGRESS_TABLE, IDS[0]) not in store.rows
 
 
-def test_successor_goes_on_behind_earlier_commits(store, owner, journal):
+def test_successor_continues_the_sequence_of_commits(store, owner, journal):
     _job(owner)
     journal.commit()
     successor = PoolJournal(store, owner, ManualClock())
@@ -197,7 +201,7 @@
     assert (PROGRESS_TABLE, IDS[1]) in store.rows
 
 
-def test_starts_leave_when_their_record_is_durable(store, owner, journal):
+def test_starts_are_sent_when_their_record_is_durable(store, owner, journal):
     _job(owner)
     owner.unsent = ["start"]
     store.script = ["later"]
@@ -207,7 +211,7 @@
     assert owner.sent == ["start"]
 
 
-def test_final_status_is_told_only_when_durable(store, owner, journal):
+def test_final_status_counts_as_durable_only_after_its_commit(store, owner, journal):
     job, runs = _job(owner, tasks=1)
     _done(owner, runs[0])
     assert job.status == JobStatus.COMPLETED
@@ -226,7 +230,7 @@
     assert owner.link.acknowledged == 65
 
 
-def test_workers_are_kept_for_a_successor(store, owner, journal):
+def test_workers_are_recorded_for_a_successor(store, owner, journal):
     registration = Registration("w1", "pool", "w1:1", "z", Amounts(1, 2), ("a", "r1-1"))
     owner.roster.add(registration)
     store.script = ["later"]
--- a/tests/pool/test_overload.py
+++ b/tests/pool/test_overload.py
@@ -1,4 +1,4 @@
-"""More urgent work comes than the pool can do: what is still done in time."""
+"""Scheduling while more urgent work arrives than the pool can do."""
 
 import pytest
 
@@ -14,15 +14,15 @@
 )
 
 
-def test_jobs_are_done_in_time_while_more_come_than_the_pool_can_do():
-    """At opening, door counts come at 1.4 times what the pool can do.
+def test_most_jobs_are_done_in_time_in_an_overload():
+    """Jobs that can still be done in time must be served first in an overload.
 
-    Served in the order of arrival each waited as long as the backlog was old, and
-    four fifths came too late. Those that can still be done in time go first.
+    Jobs arrive at 1.4 times the capacity of the pool. Served in the order of arrival,
+    each waits for the whole backlog, and four fifths are late.
     """
     load = Replay(workers=8, length=SECONDS)
     for number in range(100):
-        # 32 tasks at a time, 40 tasks a second; 56 a second come.
+        # The pool runs 32 tasks at a time and 40 tasks a second; 56 a second arrive.
         load.hand_in(tasks=6 if number % 5 else 4, estimate=SECONDS)
         if number % 2:
             load.run(0.2)
@@ -42,7 +42,7 @@
         (3 * OBJECTIVE, Timeliness.OVERDUE),
     ],
 )
-def test_work_is_overdue_once_it_can_be_of_no_use(waited, kind):
+def test_work_is_overdue_once_its_result_is_of_no_use(waited, kind):
     load = Replay(workers=1, length=SECONDS)
     load.hand_in(tasks=1, estimate=SECONDS)
     (step,) = load.owner.book.waiting_steps()
@@ -62,12 +62,13 @@
     assert found == Timeliness.IN_TIME
 
 
-def test_advice_is_asked_for_what_has_room_and_in_the_order_of_service():
-    """A burst leaves 200 steps waiting, and room comes free a task at a time.
+def test_advice_is_requested_by_urgency_and_only_for_available_capacity():
+    """Requests on steps without capacity must not delay those on urgent steps.
 
-    Each step asked for advice as soon as one task of it would fit. The hosts spent
-    their time with the advice service on steps that found no room before the answer
-    had aged, and urgent steps waited for seconds behind those calls.
+    A burst leaves 200 steps waiting, and capacity is freed one task at a time. If each
+    step requests advice as soon as one of its tasks would fit, the hosts call the
+    advice service for steps that find no capacity before their tickets expire, and
+    urgent steps wait for seconds behind these calls.
     """
     load = Replay(workers=40, length=SECONDS)
     owner = load.owner
@@ -78,24 +79,25 @@
     owner.host.queue_of = lambda document: ADVISED
     for _ in range(200):
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
-    # Room for 160 tasks, and for 5 that come free soon.
+    # There is capacity for 160 tasks, and for 5 more that will be free soon.
     owner.decisions.place(load.now)
     assert asked == sorted(load.handed_in)[: len(asked)]
     assert len(asked) == 42
     assert owner.advice_manager.is_saturated
 
 
-def test_advice_is_asked_at_once_while_there_is_room():
+def test_advice_is_requested_at_once_while_there_is_capacity():
     load = Replay(workers=4, length=SECONDS)
     load.owner.decisions.place(load.now)
     assert not load.owner.advice_manager.is_saturated
 
 
-def test_steps_that_cannot_use_advice_keep_nobody_from_it():
-    """Twenty urgent steps may run on one worker only, and it is full.
+def test_steps_that_cannot_use_advice_do_not_block_other_requests():
+    """Steps that can't use advice must not consume the limit of requests.
 
-    Their tickets had aged. They were not asked about again, and still took up all the
-    room that advice is asked for: steps behind them waited beside empty workers.
+    Twenty urgent steps may run on one worker only, which is full, and their tickets
+    have expired. No advice is requested on them; if they still counted towards the
+    limit, the steps behind them would wait while other workers are empty.
     """
     load = Replay(workers=8, length=SECONDS)
     owner = load.owner
@@ -120,20 +122,20 @@
     assert asked == [f"{21:016x}"]
 
 
-def test_queue_is_closed_by_the_rate_at_which_its_jobs_begin():
+def test_queue_refuses_jobs_by_the_rate_at_which_its_jobs_begin():
     load = Replay(workers=1, length=SECONDS)
     for _ in range(400):
         load.hand_in(tasks=4, estimate=SECONDS)
     assert load.owner.status_feed.backlogs()["q"].retry_after == 0
     load.run(10.0)
-    # One job in 0.8 s begins: 387 or so wait for over five minutes.
+    # One job begins every 0.8 s, so that about 387 jobs wait for over five minutes.
     backlog = load.owner.status_feed.backlogs()["q"]
     assert 380 < backlog.waiting < 395
     assert backlog.retry_after == 30
 
 
-def test_round_does_not_look_at_each_worker_for_steps_that_fit_nowhere():
-    """Guards against rounds that take the whole processor while hundreds wait."""
+def test_round_does_not_scan_all_workers_for_steps_that_fit_nowhere():
+    """Guards against rounds that use a whole processor while hundreds of steps wait."""
     load = Replay(workers=40, length=SECONDS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
@@ -147,15 +149,15 @@
             step.key, tickets, ADVISED.advice, load.now
         )
     owner.decisions.place(load.now)
-    looks = []
-    owner.rooms = CountedRooms(owner.rooms, looks)
+    scans = []
+    owner.rooms = CountingRooms(owner.rooms, scans)
     owner.decisions.place(load.now)
     assert len(owner.book.waiting_steps()) > 300
-    assert len(looks) < 10
+    assert len(scans) < 10
 
 
-def test_round_does_not_look_at_each_worker_for_steps_whose_tickets_are_for_full_ones():
-    """Guards against the same while a worker is free that hardly any step may use."""
+def test_round_does_not_scan_all_workers_for_steps_with_tickets_for_full_ones():
+    """Guards against the same scans while a worker is free that few steps may use."""
     load = Replay(workers=40, length=SECONDS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
@@ -165,54 +167,56 @@
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
     *steps, last = owner.book.waiting_steps()
     for step in steps:
-        _advise(owner, step, others, load.now)
+        _answer_request(owner, step, others, load.now)
     owner.decisions.place(load.now)
-    _advise(owner, last, [free], load.now)
-    looks = []
-    owner.rooms = CountedRooms(owner.rooms, looks)
+    _answer_request(owner, last, [free], load.now)
+    scans = []
+    owner.rooms = CountingRooms(owner.rooms, scans)
     owner.decisions.place(load.now)
     assert [run.worker for run in last.active_runs()] == [free] * 4
     assert len(owner.book.waiting_steps()) > 300
-    assert looks.count("choose") == 4
-    assert len(looks) < 20
+    assert scans.count("choose") == 4
+    assert len(scans) < 20
 
 
-def _advise(owner, step, workers, now):
+def _answer_request(owner, step, workers, now):
     owner.advice_manager.request(step, now)
     tickets = dict.fromkeys(workers, "t")
     owner.advice_manager._cache.note_answer(step.key, tickets, ADVISED.advice, now)
 
 
-class CountedRooms:
-    """Count how often all workers are looked at."""
+class CountingRooms:
+    """Wrapper of the rooms that records scans of all workers and uses of methods."""
 
-    def __init__(self, rooms, looks):
+    def __init__(self, rooms, scans):
         self._rooms = rooms
-        self._looks = looks
+        self._scans = scans
 
     def __iter__(self):
-        self._looks.append("all")
+        self._scans.append("all")
         return iter(self._rooms)
 
     def __getattr__(self, name):
-        self._looks.append(name)
+        self._scans.append(name)
         return getattr(self._rooms, name)
 
 
-def test_lasting_task_that_is_down_is_started_before_urgent_work():
-    """Guards against a watcher that stays away for as long as an overload lasts."""
+def test_lasting_task_is_restarted_before_urgent_work():
+    """Guards against a lasting task that is unavailable throughout an overload."""
     load = Replay(workers=2, length=SECONDS)
-    patient = Queue("w", "h", "/w/", "pool", 1, 2, 2.2, 3.0, 3.0, False, None)
+    low_priority = Queue("w", "h", "/w/", "pool", 1, 2, 2.2, 3.0, 3.0, False, None)
     load.hand_in(tasks=8, estimate=SECONDS)
-    watcher = load.hand_in_step(Step(1, Amounts(1000, 10), is_lasting=True), patient)
+    lasting = load.hand_in_step(
+        Step(1, Amounts(1000, 10), is_lasting=True), low_priority
+    )
     for _ in range(16):
         load.hand_in(tasks=4, estimate=SECONDS)
         load.run(0.25)
-    assert load.owner.book.get(watcher).status == JobStatus.RUNNING
+    assert load.owner.book.get(lasting).status == JobStatus.RUNNING
 
 
-def test_urgent_queue_turns_away_what_would_be_of_no_use():
-    """Guards against thousands of jobs that are accepted and come to nothing."""
+def test_urgent_queue_refuses_jobs_that_would_be_overdue():
+    """Guards against accepting thousands of jobs that end too late to be of use."""
     load = Replay(workers=8, length=SECONDS)
     owner = load.owner
     refused = 0
@@ -224,6 +228,6 @@
             else:
                 load.hand_in(tasks=5, estimate=SECONDS)
         load.run(0.1)
-    # 40 tasks a second are done; what can be of use is of the next 5 s.
+    # 40 tasks a second are done; only jobs that begin within 5 s are of use.
     assert owner.status_feed.backlogs()["q"].waiting < 400
     assert refused > 200
--- a/tests/pool/test_preemption.py
+++ b/tests/pool/test_preemption.py
@@ -1,4 +1,4 @@
-"""Stops for urgent steps, with many that wait: how much is looked at."""
+"""The cost of preemption while many steps wait: how many runs and workers it scans."""
 
 import pytest
 
@@ -7,96 +7,100 @@
 from tests.pool.standins import QUEUE, Replay
 
 SECONDS = 100.0
-PATIENT = Queue("w", "h", "/w/", "pool", 2, 2, 2.2, 3.0, 3.0, False, None)
+LOW_PRIORITY = Queue("w", "h", "/w/", "pool", 2, 2, 2.2, 3.0, 3.0, False, None)
 ADVISED = Queue(
     "q", "h", "/q/", "pool", 0, 2, 1.5, 0.5, 3.0, False, AdvicePolicy(0.02, 0, 2.5)
 )
-# Each with room for four tasks.
+# Each worker has capacity for four tasks.
 WORKERS = 20
-FULL = 4 * WORKERS
-PATIENT_TASKS = 8
+CAPACITY = 4 * WORKERS
+LOW_PRIORITY_TASKS = 8
 
 
-class CountedBook:
-    """Count how often the step of a run is asked for."""
+class CountingBook:
+    """Wrapper of a job book that counts how often the step of a run is looked up."""
 
     def __init__(self, book):
         self._book = book
-        self.asked = 0
+        self.lookups = 0
 
     def step_of(self, key):
-        self.asked += 1
+        self.lookups += 1
         return self._book.step_of(key)
 
     def __getattr__(self, name):
         return getattr(self._book, name)
 
 
-class CountedRooms:
-    """Count the workers that are looked at."""
+class CountingRooms:
+    """Wrapper of the rooms that counts how many workers are scanned."""
 
     def __init__(self, rooms):
         self._rooms = rooms
-        self.looks = 0
+        self.scanned = 0
 
     def __iter__(self):
-        self.looks += len(self._rooms)
+        self.scanned += len(self._rooms)
         return iter(self._rooms)
 
     def able(self, step):
-        self.looks += len(self._rooms)
+        self.scanned += len(self._rooms)
         return self._rooms.able(step)
 
     def __getattr__(self, name):
         return getattr(self._rooms, name)
 
 
-def _full_pool(patient_tasks):
-    """Return a load whose workers are full, with some patient tasks among them."""
+def _full_pool(low_priority_tasks):
+    """Return a load whose workers are full, some of them with low-priority tasks."""
     load = Replay(workers=WORKERS, length=SECONDS)
-    if patient_tasks:
-        step = Step(patient_tasks, Amounts(1000, 10), SECONDS, has_checkpoints=True)
-        load.hand_in_step(step, PATIENT)
-    load.hand_in(tasks=FULL - patient_tasks, estimate=SECONDS)
+    if low_priority_tasks:
+        step = Step(
+            low_priority_tasks, Amounts(1000, 10), SECONDS, has_checkpoints=True
+        )
+        load.hand_in_step(step, LOW_PRIORITY)
+    load.hand_in(tasks=CAPACITY - low_priority_tasks, estimate=SECONDS)
     load.run(0.1)
     return load
 
 
-def _looked_at(load):
-    """Return the runs and the workers that one look for stops takes in."""
+def _count_scans(load):
+    """Return how many runs are looked up, and workers scanned, by one preemption."""
     owner = load.owner
-    owner.book, owner.rooms = CountedBook(owner.book), CountedRooms(owner.rooms)
+    owner.book, owner.rooms = CountingBook(owner.book), CountingRooms(owner.rooms)
     owner.decisions.preempt(load.now)
-    looks = owner.book.asked, owner.rooms.looks
+    counts = owner.book.lookups, owner.rooms.scanned
     owner.book, owner.rooms = owner.book._book, owner.rooms._rooms
-    return looks
+    return counts
 
 
-@pytest.mark.parametrize("queue", [QUEUE, PATIENT])
-def test_steps_for_which_nothing_is_stopped_do_not_look_at_each_run(queue):
-    """Guards against a look at all workers and runs for each step that waits.
+@pytest.mark.parametrize("queue", [QUEUE, LOW_PRIORITY])
+def test_steps_for_which_nothing_is_stopped_do_not_scan_each_run(queue):
+    """Guards against a scan of all workers and runs for each waiting step.
 
-    It was taken ten times a second under the owner's lock. With thousands of steps
-    waiting it alone took longer than the time between two of them.
+    Preemption runs ten times a second under the owner's lock. With thousands of waiting
+    steps, such scans alone took longer than the interval.
     """
-    load = _full_pool(patient_tasks=0 if queue is QUEUE else PATIENT_TASKS)
+    load = _full_pool(low_priority_tasks=0 if queue is QUEUE else LOW_PRIORITY_TASKS)
     for _ in range(300):
         load.hand_in(tasks=4, estimate=SECONDS, queue=queue)
     load.run(1.0)
-    runs, workers = _looked_at(load)
+    runs, workers = _count_scans(load)
     assert len(load.owner.book.waiting_steps()) == 300
-    assert runs <= FULL
+    assert runs <= CAPACITY
     assert workers <= 2 * WORKERS
 
 
-def test_steps_that_may_not_use_the_room_look_at_no_other_worker():
-    """Guards against the same where advice keeps the steps from what could be freed."""
-    load = _full_pool(PATIENT_TASKS)
+def test_steps_without_tickets_for_stoppable_runs_scan_no_other_worker():
+    """Guards against the same scans if no step has advice for the workers to free."""
+    load = _full_pool(LOW_PRIORITY_TASKS)
     owner = load.owner
     owner.host.queue_of = lambda document: ADVISED
     owner.advice_manager._cache._ask = lambda key, workers, expected: None
-    patient = next(job for job in owner.book.live_jobs() if job.queue is PATIENT)
-    places = {run.worker for step in patient.steps() for run in step.active_runs()}
+    low_priority = next(
+        job for job in owner.book.live_jobs() if job.queue is LOW_PRIORITY
+    )
+    places = {run.worker for step in low_priority.steps() for run in step.active_runs()}
     for _ in range(300):
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
     tickets = dict.fromkeys(set(load.workers) - places, "t")
@@ -105,20 +109,20 @@
         policy = ADVISED.advice
         owner.advice_manager._cache.note_answer(step.key, tickets, policy, load.now)
     load.host.clock.advance(1.0)
-    runs, workers = _looked_at(load)
+    runs, workers = _count_scans(load)
     assert load.stops == 0
-    assert patient.status == JobStatus.RUNNING
-    assert runs <= FULL
+    assert low_priority.status == JobStatus.RUNNING
+    assert runs <= CAPACITY
     assert workers <= 2 * WORKERS
 
 
-def test_steps_that_need_more_stops_than_are_made_look_at_no_other_worker():
-    """Guards against the same where no few stops make room enough."""
-    load = _full_pool(PATIENT_TASKS)
+def test_steps_that_need_too_many_stops_scan_no_other_worker():
+    """Guards against the same scans if a few stops do not free enough capacity."""
+    load = _full_pool(LOW_PRIORITY_TASKS)
     for _ in range(300):
         load.hand_in_step(Step(1, Amounts(4000, 10), SECONDS))
     load.host.clock.advance(1.0)
-    runs, workers = _looked_at(load)
+    runs, workers = _count_scans(load)
     assert load.stops == 0
-    assert runs <= FULL
+    assert runs <= CAPACITY
     assert workers <= 2 * WORKERS
--- a/tests/pool/test_waits.py
+++ b/tests/pool/test_waits.py
@@ -1,4 +1,4 @@
-"""What the log tells of a step that waits."""
+"""The log events of waiting steps."""
 
 from types import SimpleNamespace
 
@@ -15,8 +15,8 @@
 )
 
 
-class Lines:
-    """Keep the lines of one event in place of the log."""
+class RecordedEvents:
+    """Record the fields of one event instead of writing them to the log."""
 
     def __init__(self):
         self.found = []
@@ -27,18 +27,18 @@
 
 @pytest.fixture
 def waits(monkeypatch):
-    lines = Lines()
-    monkeypatch.setattr(decisions, "STEP_WAITS", lines)
-    return lines.found
+    events = RecordedEvents()
+    monkeypatch.setattr(decisions, "STEP_WAITS", events)
+    return events.found
 
 
-def load_of(workers=1):
+def make_load(workers=1):
     load = Replay(workers=workers, length=0.8)
     load.owner.advice_manager._cache._ask = lambda key, workers, expected: None
     return load
 
 
-def place_again(load, seconds):
+def place_after(load, seconds):
     load.host.clock.advance(seconds)
     load.owner.decisions.place(load.now)
 
@@ -47,34 +47,34 @@
     return [line["reason"] for line in waits]
 
 
-def test_long_wait_is_told_again_with_how_far_the_advice_is(waits):
-    """A task waited for nine seconds and its only line was older than the log.
+def test_long_wait_is_logged_repeatedly_with_the_state_of_the_advice(waits):
+    """A log that covers only a few seconds must show why a step waits.
 
-    A host's log reaches back some seconds; what a step waits for is told again while
-    it waits, with the time since its advice was asked for.
+    The event is therefore repeated during a long wait, with the age of the request for
+    advice. Written once, it is no longer in the log of a task that waits nine seconds.
     """
-    load = load_of()
+    load = make_load()
     load.hand_in(tasks=1, queue=ADVISED)
     for _ in range(7):
-        place_again(load, 0.5)
+        place_after(load, 0.5)
     assert reasons(waits) == ["advice", "advice"]
     assert [line["waited_seconds"] for line in waits] == [0.5, 2.5]
     assert [line["asked_seconds"] for line in waits] == [0.0, 2.0]
     assert waits[-1]["advised_workers"] == 0
 
 
-def test_steps_that_are_not_asked_about_say_so(waits):
-    load = load_of()
+def test_wait_for_a_turn_to_request_advice_is_logged(waits):
+    load = make_load()
     for _ in range(3):
         load.hand_in(tasks=4, queue=ADVISED)
     load.owner.rooms.get("w0").processors = 0
-    place_again(load, 0.5)
-    # What comes free soon is enough to ask about the first.
+    place_after(load, 0.5)
+    # The capacity that will be free soon suffices to request advice on the first step.
     assert reasons(waits) == ["advice", "turn", "turn"]
 
 
-def test_step_that_no_worker_with_room_may_run_says_so(waits):
-    load = load_of(workers=2)
+def test_wait_for_capacity_on_allowed_workers_is_logged(waits):
+    load = make_load(workers=2)
     load.hand_in(tasks=1, queue=ADVISED)
     (step,) = load.owner.book.waiting_steps()
     load.owner.advice_manager.request_if_useful(step, load.now)
@@ -83,8 +83,8 @@
         step.key, {"w0": "t"}, ADVISED.advice, load.now
     )
     load.owner.rooms.get("w0").processors = 0
-    place_again(load, 0.6)
-    place_again(load, 3.0)
+    place_after(load, 0.6)
+    place_after(load, 3.0)
     assert reasons(waits) == ["room", "no-fit"]
     assert [line["advised_workers"] for line in waits] == [1, 0]
     assert waits[-1]["unfit_workers"] == 1
@@ -95,15 +95,14 @@
     assert all(reason.value in described for reason in WaitReason)
 
 
-def test_what_is_known_of_a_step_goes_with_its_job():
-    """An owner grows for as long as it lasts.
+def test_advice_on_a_step_is_removed_with_its_job():
+    """Guards against a memory leak: the advice on steps of removed jobs.
 
-    The advice on each step that was ever asked about stayed, with up to a hundred
-    workers each, when the job was long removed from the store.
+    Each step that was ever included in a request holds up to a hundred workers.
     """
-    load = load_of()
+    load = make_load()
     load.hand_in(tasks=1, queue=ADVISED)
-    place_again(load, 0.5)
+    place_after(load, 0.5)
     (identifier,) = load.handed_in
     (step,) = load.owner.book.waiting_steps()
     assert load.owner.advice_manager.status(step, load.now).asked_seconds is not None
