--- a/papayapick/pool/advice_cache.py
+++ b/papayapick/pool/advice_cache.py
@@ -121,7 +121,7 @@
         advice = self._by_step.get(key)
         return advice.unfit if advice is not None else frozenset()
 
-    def known_fit(self, key):
+    def last_tickets(self, key):
         """Return the tickets of the last answer by worker, also expired ones."""
         advice = self._by_step.get(key)
         return advice.tickets if advice is not None else {}
--- a/papayapick/pool/advice_manager.py
+++ b/papayapick/pool/advice_manager.py
@@ -81,9 +81,9 @@
             return False
         return self._owner.rooms.has_free(step, self._cache.unfit(step.key))
 
-    def known_fit(self, step):
+    def last_tickets(self, step):
         """Return the tickets of the last answer by worker, also expired ones."""
-        return self._cache.known_fit(step.key)
+        return self._cache.last_tickets(step.key)
 
     def renew(self, step, free_in, now):
         """Request new tickets if the present ones expire before they can be used.
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -137,7 +137,7 @@
             self.send_starts(self.take_unsent())
 
     def _wait_for_advice(self, step, current):
-        known = self._owner.advice_manager.known_fit(step)
+        known = self._owner.advice_manager.last_tickets(step)
         is_held = bool(known) and current.holds.take(step, known) is not None
         reason = self._request_advice(step, current, is_held)
         self._log_wait(step, reason, current.now)
@@ -284,7 +284,7 @@
         for step in order_steps(useful, now):
             allowed = None
             if step.job.queue.advice is not None:
-                allowed = self._owner.advice_manager.known_fit(step)
+                allowed = self._owner.advice_manager.last_tickets(step)
                 if not allowed:
                     continue
             victims = choose_victims(step, self._owner.rooms, allowed, stoppable)
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -73,7 +73,7 @@
         for link in owner.links():
             self._tick_link(link, now)
         owner.advice_manager.prefetch(now)
-        owner.run_monitor.replace(now)
+        owner.run_monitor.replace_slow_runs(now)
         owner.decisions.start_copies(now)
         owner.decisions.preempt(now)
         owner.orders.stop_unneeded()
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -266,7 +266,7 @@
         self.host.clock.wait(self.stopping, seconds)
 
     def wake(self):
-        """Start the next scheduling round without waiting for its turn."""
+        """Trigger a scheduling round at once."""
         self._wakeup.set()
 
     def _run_guarded(self, name, step):
--- a/papayapick/pool/run_monitor.py
+++ b/papayapick/pool/run_monitor.py
@@ -35,7 +35,7 @@
         self._failures = FailureWatch()
         self._slowness = SlownessWatch()
 
-    def replace(self, now):
+    def replace_slow_runs(self, now):
         """Stop runs that are stalled or far too slow, to start them elsewhere.
 
         If the step allows copies, the run is not stopped: ``Decisions.start_copies``
@@ -47,8 +47,8 @@
             for step in job.steps():
                 for run in stalled_runs(step):
                     self._replace(step, run, now)
-                slow, sound = compare_runs(step)
-                for run in sound:
+                slow, healthy = compare_runs(step)
+                for run in healthy:
                     self._slowness.note_sound(run, now)
                 for run in slow:
                     if self._slowness.note_slow(run, now):
--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -30,12 +30,12 @@
         self.rows = {}
         self.version = 0
         self.script = []
-        self.delayed = []
+        self.late = []
 
     def transact(self, expectations, writes, seconds=1.0):
         outcome = self.script.pop(0) if self.script else "apply"
         if outcome == "later":
-            self.delayed.append((expectations, writes))
+            self.late.append((expectations, writes))
             raise TableUnavailable()
         version = self.apply(expectations, writes)
         if outcome == "lose":
@@ -167,7 +167,7 @@
     journal.commit()
     assert owner.link.acknowledged == 1
     with pytest.raises(ConditionFailed):
-        store.apply(*store.delayed.pop())
+        store.apply(*store.late.pop())
     assert store.record(IDS[0])["occurrences"]["0"][0]["done"] == "1"
 
 
--- a/tests/pool/test_large_tasks.py
+++ b/tests/pool/test_large_tasks.py
@@ -8,7 +8,7 @@
 
 SECONDS = 2.0
 URGENT = Queue("u", "h", "/u/", "pool", 1, 4, 2.2, 1.2, 3.0, False, None)
-PATIENT = Queue("p", "h", "/p/", "pool", 2, 4, 4.0, 3.0, 3.0, False, None)
+LOW_PRIORITY = Queue("p", "h", "/p/", "pool", 2, 4, 4.0, 3.0, 3.0, False, None)
 
 # Until the time at which the held capacity was expected to be free, tasks that take
 # longer than estimated may be placed there.
@@ -48,17 +48,17 @@
 def test_capacity_freed_for_a_large_task_is_not_taken_by_the_stopped_tasks():
     """Guards against a cycle in which the stopped tasks are placed there again."""
     load = Replay(workers=2, length=SECONDS, accelerators=8)
-    load.hand_in_step(_small(16, has_checkpoints=True), PATIENT)
+    load.hand_in_step(_small(16, has_checkpoints=True), LOW_PRIORITY)
     load.run(0.5)
     identifier = load.hand_in_step(_large(), URGENT)
     waited = _wait_until_begun(
-        load, identifier, 10.0, lambda: _small(2, has_checkpoints=True), PATIENT
+        load, identifier, 10.0, lambda: _small(2, has_checkpoints=True), LOW_PRIORITY
     )
     assert waited is not None and waited < 1.0
     assert load.stops <= 8
 
 
-@pytest.mark.parametrize("queue", [URGENT, PATIENT])
+@pytest.mark.parametrize("queue", [URGENT, LOW_PRIORITY])
 def test_large_task_is_not_starved_by_a_stream_of_small_ones(queue):
     """Guards against a worker that is never free as a whole.
 
@@ -74,16 +74,16 @@
 def test_gang_of_large_tasks_is_not_starved():
     """Guards against a gang whose members never find capacity at the same time."""
     load = Replay(workers=3, length=SECONDS, long_share=0.3, accelerators=8)
-    _fill_workers(load, PATIENT)
+    _fill_workers(load, LOW_PRIORITY)
     identifier = load.hand_in_step(_large(2, is_gang=True), URGENT)
-    waited = _wait_until_begun(load, identifier, 20.0, lambda: _small(2), PATIENT)
+    waited = _wait_until_begun(load, identifier, 20.0, lambda: _small(2), LOW_PRIORITY)
     assert waited is not None and waited < LONGEST_WAIT
 
 
 def test_gang_preempts_tasks_of_lower_priority_with_checkpoints():
     """Guards against a gang that waits for the end of tasks that could be stopped."""
     load = Replay(workers=2, length=10 * SECONDS, accelerators=8)
-    load.hand_in_step(_small(16, has_checkpoints=True), PATIENT)
+    load.hand_in_step(_small(16, has_checkpoints=True), LOW_PRIORITY)
     load.run(0.5)
     identifier = load.hand_in_step(_large(2, is_gang=True), URGENT)
     load.run(1.5)
@@ -111,7 +111,7 @@
     other = load.hand_in_step(_large(2), URGENT)
     load.run(0.5)
     load.workers["w1"].speed = 0.2
-    identifier = load.hand_in_step(_small(1), PATIENT)
+    identifier = load.hand_in_step(_small(1), LOW_PRIORITY)
     (step,) = (one for one in load.owner.book.waiting_steps())
     step.tasks[0].failed_on.add("w0")
     load.run(0.5)
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -15,7 +15,7 @@
 from tests.pool.owners import register, report
 from tests.pool.standins import QUEUE, Host, NoThreads
 
-PATIENT = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
+LOW_PRIORITY = Queue("p", "h", "/p/", "pool", 2, 2, 1.5, 0.5, 3.0, False, None)
 # Every order is sent within this time on any machine that runs the tests.
 SOON_SECONDS = 5.0
 # An order that is not sent within this time is not sent at all, as idle threads start
@@ -200,7 +200,7 @@
     decider = threading.Thread(target=owner.loop.run, daemon=True)
     decider.start()
     for number in range(100):
-        pool.hand_in(number, tasks=10, queue=PATIENT)
+        pool.hand_in(number, tasks=10, queue=LOW_PRIORITY)
         pool.decide()
     placed = sum(len(room.runs) for room in owner.rooms)
     assert placed < 600
--- a/tests/pool/test_overload.py
+++ b/tests/pool/test_overload.py
@@ -72,8 +72,8 @@
     """
     load = Replay(workers=40, length=SECONDS)
     owner = load.owner
-    asked = []
-    owner.advice_manager._cache._ask = lambda key, workers, expected: asked.append(
+    requested = []
+    owner.advice_manager._cache._ask = lambda key, workers, expected: requested.append(
         key.job
     )
     owner.host.queue_of = lambda document: ADVISED
@@ -81,8 +81,8 @@
         load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
     # There is capacity for 160 tasks, and for 5 more that will be free soon.
     owner.decisions.place(load.now)
-    assert asked == sorted(load.handed_in)[: len(asked)]
-    assert len(asked) == 42
+    assert requested == sorted(load.handed_in)[: len(requested)]
+    assert len(requested) == 42
     assert owner.advice_manager.is_saturated
 
 
@@ -101,8 +101,8 @@
     """
     load = Replay(workers=8, length=SECONDS)
     owner = load.owner
-    asked = []
-    owner.advice_manager._cache._ask = lambda key, workers, expected: asked.append(
+    requested = []
+    owner.advice_manager._cache._ask = lambda key, workers, expected: requested.append(
         key.job
     )
     for _ in range(20):
@@ -117,9 +117,9 @@
         )
     owner.rooms.get(full).processors = 0
     load.hand_in(tasks=4, estimate=SECONDS, queue=ADVISED)
-    asked.clear()
+    requested.clear()
     owner.decisions.place(load.now)
-    assert asked == [f"{21:016x}"]
+    assert requested == [f"{21:016x}"]
 
 
 def test_queue_refuses_jobs_by_the_rate_at_which_its_jobs_begin():
