--- a/tests/pool/test_owner.py
+++ b/tests/pool/test_owner.py
@@ -72,14 +72,14 @@
     assert waiting_tasks(owner) == 1
 
 
-def test_other_tasks_are_placed_beside_a_silent_worker(host):
+def test_other_tasks_are_placed_while_a_worker_is_silent(host):
     store_job(host, job(tasks=3), started_record("w1"))
     owner = owner_of(host)
     report(owner, "w2")
     assert len(place(owner)) == 2
 
 
-def test_records_that_may_lack_starts_wait_for_all(host):
+def test_incomplete_records_hold_tasks_until_all_workers_have_reported(host):
     store_job(host, job())
     owner = owner_of(host, is_journal_exact=False)
     report(owner, "w2")
@@ -257,7 +257,7 @@
         StartOutcome.TICKET_INVALID,
     ],
 )
-def test_refused_start_waits_again(host, outcome):
+def test_task_of_a_refused_start_waits_again(host, outcome):
     store_job(host, job())
     owner = owner_of(host)
     report(owner, "w2")
