--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -50,11 +50,11 @@
 class _PlacementRound:
     """Hold the capacity that is left during one round of placement."""
 
-    __slots__ = ("_most_free", "_roomy", "holds", "lookahead", "now")
+    __slots__ = ("_most_free", "_roomy", "advice_budget", "holds", "now")
 
     def __init__(self, owner, steps, now):
         self.now = now
-        self.lookahead = Lookahead(owner.rooms)
+        self.advice_budget = Lookahead(owner.rooms)
         self.holds = Holds(owner.rooms, owner.book.step_of, now)
         # At the start of the round: an upper bound for the rest of it.
         self._most_free = owner.rooms.most_free()
@@ -132,7 +132,7 @@
                     self._wait_for_advice(step, current)
                     continue
             self._place_step(step, allowed, current)
-        owner.advice_manager.is_saturated = current.lookahead.is_used_up
+        owner.advice_manager.is_saturated = current.advice_budget.is_used_up
         if self._unsent and owner.recording.may_send(owner.host.peers.all()):
             self.send_starts(self.take_unsent())
 
@@ -146,12 +146,12 @@
         """Request advice on a step if it is its turn; return what it waits for.
 
         Usefulness is checked first: a step that can't use advice must not consume the
-        lookahead and so prevent requests for the steps behind it.
+        advice budget and so prevent requests for the steps behind it.
         """
         advice_manager = self._owner.advice_manager
         if not is_held and not advice_manager.is_useful(step, current.may_fit(step)):
             return WaitReason.NO_FIT
-        if not current.lookahead.takes(step):
+        if not current.advice_budget.takes(step):
             return WaitReason.TURN
         advice_manager.request(step, current.now)
         return WaitReason.ADVICE
