--- a/tests/pool/late_days.py
+++ b/tests/pool/late_days.py
@@ -443,7 +443,7 @@
         for name, link in self._owner.links_by_worker.items():
             if self.now >= self._asks_at[name]:
                 self._asks_at[name] = self.now + self._ask(link)
-        self._owner.loop._decide(self.now)
+        self._owner.loop._run_round(self.now)
         if self.rng.random() < 0.7:
             self._owner.journal.commit()
         self._carry_out(self._owner.orders._executor)
