--- a/tests/entry/test_lines.py
+++ b/tests/entry/test_lines.py
@@ -223,7 +223,7 @@
         _lines=SimpleNamespace(beat_now=lambda: calls.append("beat")),
     )
     owner = SimpleNamespace(
-        leave=lambda: calls.append("leave"),
+        request_successor=lambda: calls.append("leave"),
         pause=lambda seconds: calls.append("pause"),
         is_stopped=True,
     )
