--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -111,7 +111,7 @@
         Parameters
         ----------
         link : WorkerLink
-        start : Start
+        start : StartOrder
         """
         with self._owner.lock:
             self._queued_starts += 1
@@ -130,7 +130,7 @@
         """Set the percentage of its processors that a run may use."""
         self._submit(self._stop_executor, self._pace, link, run, percent)
 
-    def note_start(self, link, run, outcome):
+    def note_start_outcome(self, link, run, outcome):
         """Process the outcome of a start.
 
         Parameters
@@ -230,7 +230,7 @@
             outcome = StartOutcome.NOT_SENT
         else:
             outcome = self._send_start(link, start, lease_end)
-        self.note_start(link, run, outcome)
+        self.note_start_outcome(link, run, outcome)
 
     def _send_start(self, link, start, lease_end):
         try:
--- a/tests/entry/test_advice_turns.py
+++ b/tests/entry/test_advice_turns.py
@@ -19,7 +19,7 @@
     begin = host.clock.monotonic()
     while not answer.done():
         host.clock.advance(0.01)
-        host.advise()
+        host.answer_advice()
     return host.clock.monotonic() - begin
 
 
@@ -80,7 +80,7 @@
     def ask_slowly(*question):
         # The calls of the other hosts end while this one is still being sent.
         host.clock.advance(LONG_SECONDS)
-        host.advise()
+        host.answer_advice()
         return own(*question)
 
     host.ask_advice, host.advice._adviser.ask = ask_through, ask_slowly
--- a/tests/pool/advisers.py
+++ b/tests/pool/advisers.py
@@ -10,7 +10,7 @@
 HEARD_SECONDS = 0.8
 
 
-class SerialAdviser:
+class FakeAdviceClient:
     """Fake of a host's advice client that answers calls one after the other.
 
     Every worker may run every step.
@@ -31,9 +31,9 @@
     def work(self):
         """Answer the calls whose expected duration has passed."""
         now = self._clock.monotonic()
-        over = [call for call in self._calls if call[0] <= now]
+        due = [call for call in self._calls if call[0] <= now]
         self._calls = [call for call in self._calls if call[0] > now]
-        for _, workers, answer in over:
+        for _, workers, answer in due:
             answer.set_result(dict.fromkeys(workers, "t"))
 
 
@@ -57,14 +57,14 @@
             map=lambda step, items: [step(item) for item in items],
         )
         self._all = [_peer(f"p{number}") for number in range(peers)]
-        self._advisers = {peer.name: SerialAdviser(self.clock) for peer in self._all}
+        self._clients = {peer.name: FakeAdviceClient(self.clock) for peer in self._all}
         self.advice = AdviceDesk(self, None)
-        self.advice._adviser = self._own = SerialAdviser(self.clock)
+        self.advice._adviser = self._own_client = FakeAdviceClient(self.clock)
 
     def ask_advice(self, peer, key, workers, expected):
         answer = Future()
-        asked = self._advisers[peer.name].ask(str(key), workers, expected)
-        asked.add_done_callback(lambda done: answer.set_result(_reply(done.result())))
+        reply = self._clients[peer.name].ask(str(key), workers, expected)
+        reply.add_done_callback(lambda done: answer.set_result(_reply(done.result())))
         return answer
 
     def all(self):
@@ -80,10 +80,10 @@
             peer.answered_at = self.clock.monotonic()
         self.advice.note_heard()
 
-    def advise(self):
+    def answer_advice(self):
         """Answer the calls of all hosts that are due."""
-        for adviser in (self._own, *self._advisers.values()):
-            adviser.work()
+        for client in (self._own_client, *self._clients.values()):
+            client.work()
 
 
 def _peer(name):
--- a/tests/pool/takeovers.py
+++ b/tests/pool/takeovers.py
@@ -88,7 +88,7 @@
         now = host.clock.monotonic()
         if now - began >= PEER_DISCOVERY_SECONDS:
             host.note_peer_answers()
-        host.advise()
+        host.answer_advice()
         with owner.lock:
             owner.ownership_status.note_confirmed(now)
             owner.tick(now)
--- a/tests/pool/test_owner.py
+++ b/tests/pool/test_owner.py
@@ -218,7 +218,7 @@
     (run,) = place(owner)
     link = owner.links_by_worker[run.worker]
     room = owner.rooms.get(run.worker)
-    owner.orders.note_start(link, run, StartOutcome.UNKNOWN)
+    owner.orders.note_start_outcome(link, run, StartOutcome.UNKNOWN)
     asked_at = host.clock.monotonic()
     host.clock.advance(0.1)
     owner.orders.note_stop_confirmed(run)
@@ -237,7 +237,7 @@
     report(owner, "w2")
     report(owner, "w1")
     (run,) = place(owner)
-    owner.orders.note_start(
+    owner.orders.note_start_outcome(
         owner.links_by_worker[run.worker], run, StartOutcome.UNKNOWN
     )
     report(owner, run.worker, runs=[(KEY, 1)])
@@ -263,7 +263,7 @@
     report(owner, "w2")
     report(owner, "w1")
     (run,) = place(owner)
-    owner.orders.note_start(owner.links_by_worker[run.worker], run, outcome)
+    owner.orders.note_start_outcome(owner.links_by_worker[run.worker], run, outcome)
     assert waiting_tasks(owner) == 1
     assert not owner.rooms.get(run.worker).runs
 
