--- a/tests/entry/test_beats.py
+++ b/tests/entry/test_beats.py
@@ -63,12 +63,14 @@
     owner = SimpleNamespace(
         pool="pool",
         row=SimpleNamespace(epoch=1),
-        news=SimpleNamespace(all_states=dict, backlogs=dict, known_at=None),
+        status_feed=SimpleNamespace(all_states=dict, backlogs=dict, known_at=None),
         may_lack_records=lambda: False,
         has_read_state=True,
-        standing=SimpleNamespace(gives_way=lambda: False),
-        recording=SimpleNamespace(note_told=lambda name, was_announced: None),
-        note_peer=lambda peer, epoch, asked_at: None,
+        ownership_status=SimpleNamespace(gives_way=lambda: False),
+        recording=SimpleNamespace(
+            note_heartbeat_answer=lambda name, was_announced: None
+        ),
+        note_peer_answer=lambda peer, epoch, asked_at: None,
         lock=threading.RLock(),
     )
     return BeatSender(host, owner, peer)
@@ -151,7 +153,7 @@
     def __init__(self, pool):
         self.pool = pool
         self.row = SimpleNamespace(epoch=1)
-        self.news = SimpleNamespace(
+        self.status_feed = SimpleNamespace(
             all_states=dict,
             take_changes=lambda: {pool + "-job": "running"},
             backlogs=dict,
@@ -238,7 +240,7 @@
         _beats=SimpleNamespace(send_all_now=lambda: calls.append("beat")),
     )
     owner = SimpleNamespace(
-        leave=lambda: calls.append("leave"),
+        request_successor=lambda: calls.append("leave"),
         pause=lambda seconds: calls.append("pause"),
         is_stopped=True,
     )
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -162,7 +162,7 @@
             ManualExecutor(),
         )
         self.owner.orders._stop_executor = ManualExecutor()
-        self.owner.sources.load()
+        self.owner.store_sync.load()
         self._polled_at = dict.fromkeys(self.workers, 0.0)
         self.submitted_at = {}
         self.finished = {}
@@ -194,7 +194,7 @@
             self.host.clock.advance(self.STEP_SECONDS)
             self._advance_workers()
             with self.owner.lock:
-                self.owner.standing.note_confirmed(self.now)
+                self.owner.ownership_status.note_confirmed(self.now)
                 self.owner.tick(self.now)
                 self.owner.decisions.place(self.now)
             self._execute_orders()
@@ -226,7 +226,9 @@
         self._polled_at[worker.name] = self.now
         link = self.owner.links_by_worker[worker.name]
         link._worker_clock = 50.0
-        self.owner.lists.note_report(link, worker.report(self._length_of), self.now)
+        self.owner.report_handler.note_report(
+            link, worker.report(self._length_of), self.now
+        )
         link.acknowledge(link.processed, link.born)
 
     def _execute_orders(self):
--- a/tests/pool/test_count_age.py
+++ b/tests/pool/test_count_age.py
@@ -13,14 +13,14 @@
 
 
 def confirm(owner):
-    owner.standing.note_confirmed(owner.now())
+    owner.ownership_status.note_confirmed(owner.now())
 
 
 def counted(owner):
     """Count again; return the number and the time as of which it is true."""
     owner.host.clock.advance(0.1)
-    backlog = owner.news.backlogs().get("q")
-    return backlog.waiting if backlog is not None else 0, owner.news.known_at
+    backlog = owner.status_feed.backlogs().get("q")
+    return backlog.waiting if backlog is not None else 0, owner.status_feed.known_at
 
 
 def test_count_is_true_as_of_the_request_for_the_state(pool):
@@ -43,7 +43,7 @@
     host, owner = pool
     calls = []
     host.follow = lambda *args, **options: calls.append((args, options))
-    owner.sources.follow_jobs(1)
+    owner.store_sync.follow_jobs(1)
     ((_, options),) = calls
     host.clock.advance(1.0)
     confirm(owner)
@@ -55,9 +55,9 @@
     """Guards against counting started jobs by an owner that was replaced."""
     host, owner = pool
     host.clock.advance(1.0)
-    owner.sources._note_complete(owner.now())
+    owner.store_sync._note_complete(owner.now())
     assert counted(owner) == (1, 1000.0)
-    owner.standing.doubt()
+    owner.ownership_status.invalidate()
     assert counted(owner) == (1, None)
 
 
@@ -68,9 +68,9 @@
     counted(owner)
     host.clock.advance(0.05)
     confirm(owner)
-    owner.sources._note_complete(owner.now())
-    owner.news.backlogs()
-    assert owner.news.known_at == 1000.0
+    owner.store_sync._note_complete(owner.now())
+    owner.status_feed.backlogs()
+    assert owner.status_feed.known_at == 1000.0
 
 
 def test_count_is_unknown_until_the_state_was_read(pool):
@@ -87,8 +87,8 @@
     owner = owner_of(host, is_journal_exact=False)
     owner.has_read_state = True
     report(owner, "w1")
-    owner.settling.note_inventory(owner.now())
+    owner.reconciliation.release_safe_tasks(owner.now())
     assert counted(owner)[1] is None
     report(owner, "w2")
-    owner.settling.note_inventory(owner.now())
+    owner.reconciliation.release_safe_tasks(owner.now())
     assert counted(owner)[1] == 1000.0
