--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -43,19 +43,19 @@
     ----------
     begun_elsewhere : set of str
         Machines whose upkeep owners of other pools have begun.
-    drained_since : dict of str to float
+    draining_since : dict of str to float
         Monotonic seconds by worker.
     is_announced : bool
         Whether the status row of the wave was written by this owner.
     """
 
-    __slots__ = ("begun_elsewhere", "drained_since", "is_announced", "record", "wave")
+    __slots__ = ("begun_elsewhere", "draining_since", "is_announced", "record", "wave")
 
     def __init__(self, wave, record):
         self.wave = wave
         self.record = record
         self.begun_elsewhere = set()
-        self.drained_since = {}
+        self.draining_since = {}
         self.is_announced = False
 
 
@@ -149,7 +149,12 @@
             self._read_records(key, open_wave)
             return
         chosen = choose_machines(
-            wave, record, machines, self._is_own, self._loads(), open_wave.drained_since
+            wave,
+            record,
+            machines,
+            self._is_own,
+            self._loads(),
+            open_wave.draining_since,
         )
         self._drain_only(open_wave, {machines[name].worker for name in chosen})
         remaining = [
@@ -210,20 +215,20 @@
         now = self._owner.now()
         with self._owner.lock:
             for worker in [
-                one for one in open_wave.drained_since if one not in workers
+                one for one in open_wave.draining_since if one not in workers
             ]:
-                del open_wave.drained_since[worker]
-                self._set_drained(worker, False)
+                del open_wave.draining_since[worker]
+                self._set_draining(worker, False)
             for worker in workers:
-                open_wave.drained_since.setdefault(worker, now)
-                self._set_drained(worker, True)
+                open_wave.draining_since.setdefault(worker, now)
+                self._set_draining(worker, True)
         self._owner.wake()
 
-    def _set_drained(self, worker, is_drained):
+    def _set_draining(self, worker, is_draining):
         room = self._owner.rooms.get(worker)
         link = self._owner.links_by_worker.get(worker)
         if room is not None and link is not None:
-            room.is_draining = is_drained
+            room.is_draining = is_draining
             self._owner.lists.update_availability(link)
 
     def _drain(self, open_wave, worker, drain_limit):
@@ -234,7 +239,7 @@
             if room is None:
                 return True
             is_limit_reached = (
-                now - open_wave.drained_since.get(worker, now) >= drain_limit
+                now - open_wave.draining_since.get(worker, now) >= drain_limit
             )
             to_move = runs_to_stop(room, self._owner.book.step_of, is_limit_reached)
             for run in to_move:
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -365,8 +365,8 @@
     machines = {name: Machine(name, "pool", True, "w" + name) for name in ("a", "b")}
     wave, record = Wave(1, ["a", "b"], 60.0, 1), WaveRecord(0.0)
 
-    def choose(loads, drained=()):
-        return choose_machines(wave, record, machines, bool, loads, drained)
+    def choose(loads, draining=()):
+        return choose_machines(wave, record, machines, bool, loads, draining)
 
     assert choose({"wa": 1000, "wb": 2000}) == ["a"]
-    assert choose({"wa": 1000, "wb": 0}, drained={"wa"}) == ["a"]
+    assert choose({"wa": 1000, "wb": 0}, draining={"wa"}) == ["a"]
