--- a/papayapick/jobs/__init__.py
+++ b/papayapick/jobs/__init__.py
@@ -3,17 +3,17 @@
 Runs without daemons and without a platform: its caller places the tasks.
 """
 
-from papayapick.jobs.book import JobBook
 from papayapick.jobs.documents import JobDocument, Step, StepKey, TaskKey
 from papayapick.jobs.queues import AdvicePolicy, CellConfiguration, Queue
 from papayapick.jobs.records import progress_record, restore_progress
+from papayapick.jobs.registry import JobRegistry
 from papayapick.jobs.runs import Run, RunPhase
 from papayapick.jobs.state import JobState, JobStatus, StepState, TaskState
 
 __all__ = [
     "AdvicePolicy",
     "CellConfiguration",
-    "JobBook",
+    "JobRegistry",
     "JobDocument",
     "JobState",
     "JobStatus",
--- a/papayapick/jobs/ends.py
+++ b/papayapick/jobs/ends.py
@@ -13,19 +13,19 @@
 
     Parameters
     ----------
-    book : JobBook
+    registry : JobRegistry
         Its caller holds the lock.
     """
 
-    __slots__ = ("_book",)
+    __slots__ = ("_registry",)
 
-    def __init__(self, book):
-        self._book = book
+    def __init__(self, registry):
+        self._registry = registry
 
     def drop(self, run, now):
         """Take back a run that did not start and can't start any more."""
-        self._book.release(run)
-        step = self._book.step(run.key)
+        self._registry.release(run)
+        step = self._registry.step(run.key)
         if step is None or step.job.is_final:
             return
         task = step.tasks[run.key.index]
@@ -37,7 +37,7 @@
             self._break_gang(step, now)
         elif not task.runs:
             # With a copy dropped, the first run may be at work.
-            self._book.wait_again(step, run.key.index)
+            self._registry.wait_again(step, run.key.index)
 
     def end(self, key, attempt, outcome, checkpoint, worker, now):
         """Take note of the end of a run.
@@ -52,7 +52,7 @@
         worker : str
         now : float
         """
-        step = self._book.step(key)
+        step = self._registry.step(key)
         if step is None:
             return
         task = step.tasks[key.index]
@@ -60,10 +60,10 @@
         task.attempt = max(task.attempt, attempt)
         ended = [run for run in task.runs if run.name == (key, attempt)]
         for run in ended:
-            self._book.release(run)
+            self._registry.release(run)
         if step.job.is_final or task.is_done:
             return
-        self._book.changed.add(step.job.identifier)
+        self._registry.changed.add(step.job.identifier)
         if checkpoint:
             task.checkpoint = checkpoint
         if outcome == _DONE and not step.step.is_lasting:
@@ -82,7 +82,7 @@
             if not self._is_of_earlier_run(step, attempt):
                 self._break_gang(step, now)
         elif not task.runs:
-            self._book.wait_again(step, key.index)
+            self._registry.wait_again(step, key.index)
 
     @staticmethod
     def _is_of_earlier_run(step, attempt):
@@ -106,7 +106,7 @@
             return
         if step.waiting and step.active_runs():
             step.waiting.clear()
-            self._book.close_step(step)
+            self._registry.close_step(step)
             self._break_gang(step, now)
 
     def _note_done(self, step, index, attempt, now):
@@ -120,13 +120,13 @@
             step.waiting.discard(number)
             # The members of a gang end together. Copies must be told to, and so must
             # a gang that was started again before this end came.
-            self._book.to_stop += [
+            self._registry.to_stop += [
                 run
                 for run in task.runs
                 if run.attempt != attempt or not step.step.is_gang
             ]
         if not step.waiting:
-            self._book.close_step(step)
+            self._registry.close_step(step)
         if step.is_done:
             self._note_step_done(step, now)
 
@@ -136,12 +136,12 @@
         if all(one.is_done for one in job.occurrences[occurrence]):
             job.over.add(occurrence)
             if len(job.over) >= max(1, job.document.occurrences):
-                self._book.finish(job, JobStatus.COMPLETED, now)
+                self._registry.finish(job, JobStatus.COMPLETED, now)
             elif job.document.is_timed:
                 # Steps of an occurrence that is over are not asked for again.
                 job.occurrences.pop(occurrence)
             return
-        self._book.open_ready(job, occurrence, now)
+        self._registry.open_ready(job, occurrence, now)
 
     def _note_failure(self, step, key, attempt, worker, now):
         task = step.tasks[key.index]
@@ -152,12 +152,12 @@
             return
         if counted.failures >= step.job.queue.failure_limit:
             step.job.failed_task, step.job.failed_worker = key, worker
-            self._book.finish(step.job, JobStatus.FAILED, now)
+            self._registry.finish(step.job, JobStatus.FAILED, now)
 
     def _break_gang(self, step, now):
         step.is_gang_broken = True
         active = step.active_runs()
-        self._book.to_stop += [run for run in active if run.stop_requested is None]
+        self._registry.to_stop += [run for run in active if run.stop_requested is None]
         if active:
             return
         step.is_gang_broken = False
@@ -168,4 +168,4 @@
         for index, task in enumerate(step.tasks):
             task.checkpoint = checkpoint
             task.attempt = attempt
-            self._book.wait_again(step, index)
+            self._registry.wait_again(step, index)
--- a/papayapick/jobs/held.py
+++ b/papayapick/jobs/held.py
@@ -8,14 +8,14 @@
 
     Parameters
     ----------
-    book : JobBook
+    registry : JobRegistry
     ends : Ends
     """
 
-    __slots__ = ("_book", "_ends", "_is_held", "_jobs", "_tasks")
+    __slots__ = ("_registry", "_ends", "_is_held", "_jobs", "_tasks")
 
-    def __init__(self, book, ends):
-        self._book = book
+    def __init__(self, registry, ends):
+        self._registry = registry
         self._ends = ends
         # As (step, index).
         self._tasks = set()
@@ -39,12 +39,12 @@
         """
         self._is_held = is_held
         self._jobs = set(jobs)
-        for step in self._book.waiting_steps():
+        for step in self._registry.waiting_steps():
             for index in list(step.waiting):
                 if self.takes(step, index):
                     step.waiting.discard(index)
             if not step.waiting:
-                self._book.close_step(step)
+                self._registry.close_step(step)
 
     def end(self):
         """Keep back no more; what is kept back stays so until it is let go."""
@@ -86,4 +86,4 @@
         task = step.tasks[index]
         task.note_found()
         if not (task.is_done or task.runs or step.job.is_final):
-            self._book.wait(step, index)
+            self._registry.wait(step, index)
--- a/papayapick/jobs/book.py
+++ b/papayapick/jobs/registry.py
@@ -8,10 +8,10 @@
 from papayapick.jobs.schedule import Schedule
 from papayapick.jobs.state import JobState, JobStatus
 
-__all__ = ["JobBook"]
+__all__ = ["JobRegistry"]
 
 
-class JobBook:
+class JobRegistry:
     """Hold all jobs of one pool; its caller holds the lock.
 
     Attributes
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -4,7 +4,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from papayapick.clients.exceptions import TableUnavailable
-from papayapick.jobs import JobBook
+from papayapick.jobs import JobRegistry
 from papayapick.ownership.pools import OwnershipLost, release_pool
 from papayapick.placement.rooms import Rooms
 from papayapick.pool.advising import Advising
@@ -99,7 +99,7 @@
         self.host = host
         self.row = row
         self.lock = threading.RLock()
-        self.book = JobBook()
+        self.book = JobRegistry()
         self.rooms = Rooms()
         self.roster = WorkerRoster(PROGRESS_TABLE, row.pool)
         self.links_by_worker = {}
--- a/tests/entry/test_removed_queue.py
+++ b/tests/entry/test_removed_queue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.jobs import AdvicePolicy, JobBook, JobDocument, JobStatus, Queue
+from papayapick.jobs import AdvicePolicy, JobDocument, JobRegistry, JobStatus, Queue
 from papayapick.jobs.documents import TaskKey
 from papayapick.platform.requests import decode_job
 from papayapick.pool.reports import EndOutcome
@@ -36,7 +36,7 @@
 
 def test_job_of_an_unknown_queue_does_not_fail_with_its_first_failed_run(host, stored):
     """Guards against a final failure of a job that has two more attempts."""
-    book = JobBook()
+    book = JobRegistry()
     book.add(stored, host.queue_of(stored), 0.0)
     for attempt in (1, 2):
         (step,) = book.waiting_steps()
--- a/tests/placement/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -3,7 +3,7 @@
 import itertools
 import random
 
-from papayapick.jobs import JobBook, JobDocument, Queue, RunPhase, Step
+from papayapick.jobs import JobDocument, JobRegistry, Queue, RunPhase, Step
 from papayapick.ledger import Amounts
 from papayapick.placement.holds import Hold
 from papayapick.placement.preemption import StoppableRuns, choose_victims
@@ -32,7 +32,7 @@
     def __init__(self, seed):
         self._draw = random.Random(seed)
         self._names = (f"{number:016x}" for number in itertools.count())
-        self._book = JobBook()
+        self._book = JobRegistry()
         self.rooms = Rooms()
         # Priority by name of the run; None if it may not be stopped.
         self.priorities = {}
--- a/tests/placement/test_rooms.py
+++ b/tests/placement/test_rooms.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from papayapick.jobs import JobBook, JobDocument, Queue, RunPhase, Step
+from papayapick.jobs import JobDocument, JobRegistry, Queue, RunPhase, Step
 from papayapick.ledger import Amounts
 from papayapick.placement.copies import stragglers
 from papayapick.placement.pace import Pacer
@@ -36,7 +36,7 @@
 
 
 def _waiting(step, identifier="0" * 16, queue=QUEUE, now=0.0):
-    book = JobBook()
+    book = JobRegistry()
     document = JobDocument(identifier, "quick", "pool", "t", [step], 0.0)
     book.add(document, queue, now)
     (state,) = book.waiting_steps()
--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -8,7 +8,7 @@
 from papayapick.clients.exceptions import ConditionFailed
 from papayapick.clients.rows import RowWrite, StoredRow
 from papayapick.clock import ManualClock
-from papayapick.jobs import JobBook, JobDocument, JobStatus, Queue, Step
+from papayapick.jobs import JobDocument, JobRegistry, JobStatus, Queue, Step
 from papayapick.ledger import Amounts
 from papayapick.ownership.pools import CELL_TABLE, PoolRow
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
@@ -70,7 +70,7 @@
 
     def __init__(self, store):
         self.lock = threading.RLock()
-        self.book = JobBook()
+        self.book = JobRegistry()
         self.link = Link()
         self.roster = WorkerRoster(PROGRESS_TABLE, "pool")
         version = store.apply([], [RowWrite(CELL_TABLE, "pool", "owner", {})])
