--- a/papayapick/jobs/held.py
+++ b/papayapick/jobs/held_tasks.py
@@ -9,14 +9,14 @@
     Parameters
     ----------
     registry : JobRegistry
-    ends : Ends
+    outcomes : OutcomeHandler
     """
 
-    __slots__ = ("_registry", "_ends", "_is_held", "_jobs", "_tasks")
+    __slots__ = ("_registry", "_outcomes", "_is_held", "_jobs", "_tasks")
 
-    def __init__(self, registry, ends):
+    def __init__(self, registry, outcomes):
         self._registry = registry
-        self._ends = ends
+        self._outcomes = outcomes
         # As (step, index).
         self._tasks = set()
         # What is kept back of steps that become ready, and of which jobs; None when
@@ -80,7 +80,7 @@
             self._free(step, index)
         for step in {step for step, _ in clear}:
             if not any(held is step for held, _ in self._tasks):
-                self._ends.settle_gang(step, now)
+                self._outcomes.settle_gang(step, now)
 
     def _free(self, step, index):
         task = step.tasks[index]
--- a/papayapick/jobs/ends.py
+++ b/papayapick/jobs/outcomes.py
@@ -2,13 +2,13 @@
 
 from papayapick.jobs.state import JobStatus
 
-__all__ = ["Ends"]
+__all__ = ["OutcomeHandler"]
 
 _DONE = "done"
 _FAILED = "failed"
 
 
-class Ends:
+class OutcomeHandler:
     """Take in ends and starts that did not come about.
 
     Parameters
--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -1,8 +1,8 @@
 """Keep the jobs of a pool: which steps are ready, and what each end means."""
 
 from papayapick.jobs.documents import TaskKey
-from papayapick.jobs.ends import Ends
-from papayapick.jobs.held import HeldTasks
+from papayapick.jobs.held_tasks import HeldTasks
+from papayapick.jobs.outcomes import OutcomeHandler
 from papayapick.jobs.records import restore_progress
 from papayapick.jobs.runs import Run, RunPhase
 from papayapick.jobs.schedule import Schedule
@@ -25,7 +25,7 @@
     """
 
     __slots__ = (
-        "_ends",
+        "_outcomes",
         "_held",
         "_jobs",
         "_live",
@@ -43,8 +43,8 @@
         self._live = {}
         # Steps that are ready and have a task waiting, by key.
         self._open_steps = {}
-        self._ends = Ends(self)
-        self._held = HeldTasks(self, self._ends)
+        self._outcomes = OutcomeHandler(self)
+        self._held = HeldTasks(self, self._outcomes)
         self._schedule = Schedule()
         self.changed = set()
         self.news = set()
@@ -202,7 +202,7 @@
             step.waiting.discard(index)
             if not step.waiting:
                 self.close_step(step)
-            self._ends.settle_gang(step, now)
+            self._outcomes.settle_gang(step, now)
         return run
 
     def note_started(self, run):
@@ -256,11 +256,11 @@
 
     def drop(self, run, now):
         """Take back a run that did not start and can't start any more."""
-        self._ends.drop(run, now)
+        self._outcomes.drop(run, now)
 
     def end(self, key, attempt, outcome, checkpoint, worker, now):
-        """Take note of the end of a run; see ``Ends.end``."""
-        self._ends.end(key, attempt, outcome, checkpoint, worker, now)
+        """Take note of the end of a run; see ``OutcomeHandler.end``."""
+        self._outcomes.end(key, attempt, outcome, checkpoint, worker, now)
 
     # For the modules beside this one.
 
