--- a/papayapick/jobs/outcomes.py
+++ b/papayapick/jobs/outcomes.py
@@ -24,7 +24,7 @@
 
     def drop(self, run, now):
         """Take back a run that did not start and can't start any more."""
-        self._registry.release(run)
+        self._registry.remove_run(run)
         step = self._registry.step(run.key)
         if step is None or step.job.is_final:
             return
@@ -60,7 +60,7 @@
         task.attempt = max(task.attempt, attempt)
         ended = [run for run in task.runs if run.name == (key, attempt)]
         for run in ended:
-            self._registry.release(run)
+            self._registry.remove_run(run)
         if step.job.is_final or task.is_done:
             return
         self._registry.changed.add(step.job.identifier)
--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -192,7 +192,7 @@
         run.pace = None
         task = step.tasks[index]
         is_second = bool(task.runs) and not step.step.allows_copies
-        task.add_found(run)
+        task.adopt_run(run)
         # Its start may have left without a record.
         self.changed.add(step.job.identifier)
         self._note_running(step.job)
@@ -219,38 +219,38 @@
         if step is not None and run.checkpoint:
             step.tasks[run.key.index].checkpoint = run.checkpoint
 
-    def hold(self, is_held):
+    def hold_tasks(self, must_hold):
         """Keep back tasks that may run already under an earlier owner.
 
-        Those of steps that become ready meanwhile too, until ``let_all_go``: the
+        Those of steps that become ready meanwhile too, until ``release_all_tasks``: the
         end that makes a step ready may be read before the list that shows what
         runs of it.
 
         Parameters
         ----------
-        is_held : callable
+        must_hold : callable
             Takes a TaskState; returns whether its task is kept back.
         """
-        self._held.begin(is_held, self._jobs)
+        self._held.activate(must_hold, self._jobs)
 
-    def let_go(self, is_clear, now):
+    def release_tasks(self, may_release, now):
         """Let tasks wait for a worker that were kept back.
 
         Parameters
         ----------
-        is_clear : callable
+        may_release : callable
             Takes a TaskState; returns whether its task runs nowhere unseen.
         now : float
         """
-        self._held.let_go(is_clear, now)
+        self._held.release_tasks(may_release, now)
 
-    def let_all_go(self, now):
+    def release_all_tasks(self, now):
         """Keep nothing back any more."""
-        self._held.end()
-        self.let_go(lambda task: True, now)
+        self._held.deactivate()
+        self.release_tasks(lambda task: True, now)
 
     @property
-    def has_held(self):
+    def has_held_tasks(self):
         """Return whether any task is kept back."""
         return bool(self._held)
 
@@ -288,13 +288,17 @@
                 step.is_ready = True
                 step.ready_at = now
                 for index, task in enumerate(step.tasks):
-                    if not (task.is_done or task.runs or self._held.takes(step, index)):
+                    if not (
+                        task.is_done
+                        or task.runs
+                        or self._held.hold_if_required(step, index)
+                    ):
                         self.wait(step, index)
 
     def wait_again(self, step, index):
         """Let a task wait that runs nowhere any more, unless it is kept back."""
-        if not self._held.takes(step, index):
-            step.tasks[index].note_found()
+        if not self._held.hold_if_required(step, index):
+            step.tasks[index].refresh_place()
             self.wait(step, index)
 
     def close_step(self, step):
@@ -312,7 +316,7 @@
             job.status = JobStatus.RUNNING
             self.news.add(job.identifier)
 
-    def release(self, run):
+    def remove_run(self, run):
         """Forget a run that is at work no more."""
         step = self.step(run.key)
         if step is not None:
--- a/papayapick/jobs/state.py
+++ b/papayapick/jobs/state.py
@@ -79,7 +79,7 @@
         """Return how many of its starts ended as failed."""
         return len(self.failed_attempts)
 
-    def add_found(self, run):
+    def adopt_run(self, run):
         """Take over a run that a worker lists.
 
         One beside another, or older than the start on record, is found where an order
@@ -98,7 +98,7 @@
         if self.runs and self.place == run.worker:
             self.place = self.runs[0].worker
 
-    def note_found(self):
+    def refresh_place(self):
         """Take note that it runs nowhere but where its runs are known to be."""
         self.place = self.runs[0].worker if self.runs else ""
 
--- a/papayapick/pool/settling.py
+++ b/papayapick/pool/settling.py
@@ -55,7 +55,7 @@
         Exact journals name the worker of each start before it is ordered; without
         one, any task may run on a worker that has not answered.
         """
-        self._owner.book.hold(
+        self._owner.book.hold_tasks(
             lambda task: bool(task.place) or not self._is_journal_exact
         )
 
@@ -82,11 +82,11 @@
             if not (link.is_inventoried or link.worker in self._gone)
         )
         is_over = now > self._owner.taken_at + QUIET_SECONDS
-        self._owner.book.let_go(
+        self._owner.book.release_tasks(
             lambda task: is_over or self._is_clear(task, bool(silent)), now
         )
-        if is_over or not (silent or self._owner.book.has_held):
-            self._owner.book.let_all_go(now)
+        if is_over or not (silent or self._owner.book.has_held_tasks):
+            self._owner.book.release_all_tasks(now)
             self._is_settled = True
             self._settled_at = now
             TAKEOVER_SECONDS.observe(now - self._owner.taken_at)
--- a/tests/jobs/test_registry.py
+++ b/tests/jobs/test_registry.py
@@ -293,11 +293,11 @@
     job = registry.add(_document(_step(2)), QUEUE, 0.0)
     registry.begin(registry.waiting_steps()[0], 0, "w1", 1.0)
     successor, _ = _restored(job)
-    successor.hold(lambda task: bool(task.place))
+    successor.hold_tasks(lambda task: bool(task.place))
     assert _waiting(successor) == {(0, 0, 1)}
-    successor.let_go(lambda task: False, 2.0)
+    successor.release_tasks(lambda task: False, 2.0)
     assert _waiting(successor) == {(0, 0, 1)}
-    successor.let_go(lambda task: task.place == "w1", 3.0)
+    successor.release_tasks(lambda task: task.place == "w1", 3.0)
     assert _waiting(successor) == {(0, 0, 0), (0, 0, 1)}
 
 
@@ -305,9 +305,9 @@
     job = registry.add(_document(_step()), QUEUE, 0.0)
     _begin_all(registry)
     successor, again = _restored(job)
-    successor.hold(lambda task: bool(task.place))
+    successor.hold_tasks(lambda task: bool(task.place))
     run = successor.adopt(RunReport(TaskKey(ID, 0, 0, 0), 1), "w1", 2.0)
-    successor.let_go(lambda task: True, 3.0)
+    successor.release_tasks(lambda task: True, 3.0)
     assert run.phase == RunPhase.RUNNING
     assert _waiting(successor) == set()
     assert again.status == JobStatus.RUNNING
@@ -363,9 +363,9 @@
     job = registry.add(_document(_step(2, is_gang=True)), QUEUE, 0.0)
     _begin_all(registry, attempt=1)
     successor, _ = _restored(job)
-    successor.hold(lambda task: bool(task.place))
+    successor.hold_tasks(lambda task: bool(task.place))
     run = successor.adopt(RunReport(TaskKey(ID, 0, 0, 0), 1), "w1", 2.0)
-    successor.let_all_go(3.0)
+    successor.release_all_tasks(3.0)
     assert successor.to_stop == [run]
     assert _waiting(successor) == set()
     _end(successor, run, "stopped")
