--- a/papayapick/jobs/state.py
+++ b/papayapick/jobs/state.py
@@ -124,8 +124,8 @@
         "ready_at",
         "step",
         "tasks",
-        "told_wait",
-        "told_wait_at",
+        "logged_wait",
+        "logged_wait_at",
         "usual_seconds",
         "waiting",
     )
@@ -144,8 +144,8 @@
         # Workers whose room is held for it, with the monotonic seconds from which on.
         self.held_on = {}
         # What its wait was last logged to be for, and when; None for nothing.
-        self.told_wait = None
-        self.told_wait_at = 0.0
+        self.logged_wait = None
+        self.logged_wait_at = 0.0
         # What a run of it took that ended as done: the longest, and the last few.
         self.usual_seconds = 0.0
         self.done_seconds = []
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -189,7 +189,7 @@
             self._unsent.append(Start(run, payload, checkpoint, ticket, usable_until))
 
     def _note_placed(self, step, runs, now):
-        step.told_wait = None
+        step.logged_wait = None
         STEP_PLACED.write(
             request_id=step.key.job,
             occurrence=step.key.occurrence,
@@ -206,11 +206,12 @@
         """Tell what a step waits for, when it has waited long."""
         waited = now - step.ready_at
         is_told = (
-            step.told_wait == reason and now < step.told_wait_at + _TELL_AGAIN_SECONDS
+            step.logged_wait == reason
+            and now < step.logged_wait_at + _TELL_AGAIN_SECONDS
         )
         if waited < _TOLD_WAIT_SECONDS or is_told:
             return
-        step.told_wait, step.told_wait_at = reason, now
+        step.logged_wait, step.logged_wait_at = reason, now
         status = self._owner.advising.status(step, now)
         asked = status.asked_seconds
         STEP_WAITS.write(
