--- a/papayapick/jobs/runs.py
+++ b/papayapick/jobs/runs.py
@@ -48,7 +48,7 @@
         "attempt",
         "checkpoint",
         "demand",
-        "figure",
+        "measurement",
         "has_lost_pace",
         "image",
         "is_filler",
@@ -85,7 +85,7 @@
         # from nothing when this owner first saw it.
         self.is_resumed = False
         # What its worker told of the half second before, or None.
-        self.figure = None
+        self.measurement = None
         # Percent of its processors that it may use, as ordered; None where that is not
         # known: another owner may have set it, or an order had no answer.
         self.pace = _PACE_AT_START
--- a/papayapick/placement/pace.py
+++ b/papayapick/placement/pace.py
@@ -91,9 +91,9 @@
     covers a part of the period only. A low figure, or 0, is then ignored, since it
     would speed up fillers beside a task of unknown latency; a high figure is valid.
     """
-    if run.figure is None:
+    if run.measurement is None:
         return None
-    share = run.figure / 1000 / run.tail_limit
+    share = run.measurement / 1000 / run.tail_limit
     is_full_period = run.percent_at - run.moved_at >= _MEASURE_SECONDS
     return share if is_full_period or share > _SLOW_DOWN_SHARE else None
 
--- a/papayapick/platform/workers.py
+++ b/papayapick/platform/workers.py
@@ -229,8 +229,8 @@
     key = _task_key(row[0])
     # The fifth entry is the tail in milliseconds for a task that serves, and
     # the processors in use, in thousandths, for any other. A worker may have none yet.
-    figure = row[4] if len(row) > 4 else None
-    return RunReport(key, row[1], row[2], row[3], figure)
+    measurement = row[4] if len(row) > 4 else None
+    return RunReport(key, row[1], row[2], row[3], measurement)
 
 
 def _end(row):
--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -185,7 +185,7 @@
             if run.percent != found.percent:
                 run.moved_at = now
             run.percent, run.percent_at = found.percent, now
-            run.figure = found.figure
+            run.measurement = found.measurement
             if found.checkpoint != run.checkpoint:
                 run.checkpoint = found.checkpoint
                 self._owner.book.note_checkpoint(run)
--- a/papayapick/pool/reports.py
+++ b/papayapick/pool/reports.py
@@ -107,19 +107,19 @@
     checkpoint : str
     percent : int
         Of its work that is done; of a lasting task, 100 when it is at work.
-    figure : float or None
+    measurement : float or None
         Tail of the response time in milliseconds for a task that serves,
         processors in use in millicores for any other; None where there is none.
     """
 
-    __slots__ = ("attempt", "checkpoint", "figure", "key", "percent")
+    __slots__ = ("attempt", "checkpoint", "measurement", "key", "percent")
 
-    def __init__(self, key, attempt, checkpoint="", percent=0, figure=None):
+    def __init__(self, key, attempt, checkpoint="", percent=0, measurement=None):
         self.key = key
         self.attempt = attempt
         self.checkpoint = checkpoint
         self.percent = percent
-        self.figure = figure
+        self.measurement = measurement
 
 
 class EndReport:
--- a/tests/placement/test_rooms.py
+++ b/tests/placement/test_rooms.py
@@ -137,7 +137,7 @@
     filler = book.begin(state, 0, "w1", 0.0)
     room.reserve(filler)
     pacer = Pacer()
-    serving.percent, serving.figure = 100, 150.0
+    serving.percent, serving.measurement = 100, 150.0
     paces = []
     for step in range(5):
         for run, percent in pacer.decide(room, 10.0 + step):
@@ -145,7 +145,7 @@
             run.pace = percent
             paces.append(percent)
     assert paces == [50, 25, 12, 0]
-    serving.figure, serving.percent_at = 20.0, 20.0
+    serving.measurement, serving.percent_at = 20.0, 20.0
     ((_, percent),) = pacer.decide(room, 20.0)
     assert percent > 0
 
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize("rest", [[], [None]])
 def test_figure_that_is_missing_is_not_zero(rest):
     """A tail that nobody has measured was taken for one of nothing."""
-    assert listed([TASK, 1, "", 100, *rest]).figure is None
+    assert listed([TASK, 1, "", 100, *rest]).measurement is None
 
 
-@pytest.mark.parametrize("figure", [0, 85])
-def test_figure_that_is_told_stays_as_it_is(figure):
-    assert listed([TASK, 1, "", 100, figure]).figure == figure
+@pytest.mark.parametrize("measurement", [0, 85])
+def test_figure_that_is_told_stays_as_it_is(measurement):
+    assert listed([TASK, 1, "", 100, measurement]).measurement == measurement
--- a/tests/pool/test_pace.py
+++ b/tests/pool/test_pace.py
@@ -91,9 +91,9 @@
         """
         for _ in range(looks):
             self.host.clock.advance(LOOK_SECONDS)
-            runs = [RunReport(FILLER, 1, percent=10, figure=500), *others]
+            runs = [RunReport(FILLER, 1, percent=10, measurement=500), *others]
             if self.is_serving:
-                runs.append(RunReport(SERVING, attempt, percent=100, figure=tail))
+                runs.append(RunReport(SERVING, attempt, percent=100, measurement=tail))
             link = self.owner.links_by_worker["w1"]
             now = self.host.clock.monotonic()
             ended = [
@@ -189,8 +189,8 @@
 # Figures that are not there yet.
 
 
-@pytest.mark.parametrize("figure", [0, None])
-def test_filler_is_not_sped_up_by_a_tail_that_was_not_measured(figure):
+@pytest.mark.parametrize("measurement", [0, None])
+def test_filler_is_not_sped_up_by_a_tail_that_was_not_measured(measurement):
     """Users of a lasting task wait too long just after it has begun.
 
     Its worker had no half second of figures yet, which was taken for a tail of
@@ -198,7 +198,7 @@
     """
     pool = Pool(pace_there=20)
     pool.know_pace(20)
-    pool.look(figure, attempt=2)
+    pool.look(measurement, attempt=2)
     assert pool.client.ordered == []
 
 
@@ -238,7 +238,7 @@
     pool = Pool(pace_there=20)
     pool.know_pace(20)
     other = TaskKey(ID, 0, 0, 1)
-    pool.look(HIGH, others=[RunReport(other, 1, percent=100, figure=None)])
+    pool.look(HIGH, others=[RunReport(other, 1, percent=100, measurement=None)])
     assert pool.client.ordered == [10]
 
 
