--- a/papayapick/jobs/runs.py
+++ b/papayapick/jobs/runs.py
@@ -44,18 +44,18 @@
     """
 
     __slots__ = (
-        "answered_at",
+        "start_confirmed_at",
         "attempt",
         "checkpoint",
         "demand",
         "measurement",
-        "has_lost_pace",
+        "is_pace_unconfirmed",
         "image",
         "is_filler",
-        "is_measured",
+        "shows_worker_speed",
         "is_resumed",
         "key",
-        "moved_at",
+        "progressed_at",
         "pace",
         "percent",
         "percent_at",
@@ -64,8 +64,8 @@
         "stop_confirmed",
         "stop_requested",
         "tail_limit",
-        "was_seen",
-        "was_seen_again",
+        "was_listed",
+        "was_listed_again",
         "worker",
     )
 
@@ -80,7 +80,7 @@
         self.percent = 0
         self.percent_at = placed_at
         # When its percent was last seen to change.
-        self.moved_at = placed_at
+        self.progressed_at = placed_at
         # It began with saved progress, or was taken over: its percent did not start
         # from nothing when this owner first saw it.
         self.is_resumed = False
@@ -90,13 +90,13 @@
         # known: another owner may have set it, or an order had no answer.
         self.pace = _PACE_AT_START
         # An order on its pace had no answer: it may be carried out at any time.
-        self.has_lost_pace = False
+        self.is_pace_unconfirmed = False
         # Monotonic seconds of its worker's answer that it runs, or None.
-        self.answered_at = None
+        self.start_confirmed_at = None
         # A worker has listed it.
-        self.was_seen = False
+        self.was_listed = False
         # A later list has shown it too.
-        self.was_seen_again = False
+        self.was_listed_again = False
         # Monotonic seconds of the stop's order, or None.
         self.stop_requested = None
         # Monotonic seconds of the answer to a stop, or None: since then the run
@@ -105,7 +105,7 @@
         self.is_filler = step is not None and step.is_filler
         # Whether its percent tells how fast its worker is: members of a gang wait for
         # each other, lasting tasks are at 100, fillers get what others leave.
-        self.is_measured = step is not None and not (
+        self.shows_worker_speed = step is not None and not (
             step.is_gang or step.is_lasting or step.is_filler
         )
         self.tail_limit = step.tail_limit_seconds if step is not None else 0.0
@@ -130,9 +130,9 @@
     @property
     def has_begun(self):
         """Return whether its worker is known to have begun it."""
-        return self.was_seen or self.phase == RunPhase.RUNNING
+        return self.was_listed or self.phase == RunPhase.RUNNING
 
-    def was_there(self, asked_at):
+    def ran_before(self, asked_at):
         """Return whether its worker ran it before a list was asked for.
 
         Parameters
@@ -140,7 +140,7 @@
         asked_at : float
             Monotonic seconds.
         """
-        known_at = self.percent_at if self.was_seen else self.answered_at
+        known_at = self.percent_at if self.was_listed else self.start_confirmed_at
         return known_at is not None and known_at < asked_at
 
     @property
@@ -154,4 +154,4 @@
 
     def note_sent(self, now):
         """Note that its order leaves now: before, it could not move."""
-        self.since = self.percent_at = self.moved_at = now
+        self.since = self.percent_at = self.progressed_at = now
--- a/papayapick/placement/pace.py
+++ b/papayapick/placement/pace.py
@@ -63,7 +63,7 @@
             # Read once, since answers to orders change it without the owner's lock.
             current = run.pace
             pace = _wanted_pace(current, load, is_serving)
-            is_repeated = is_repeat_due and run.has_lost_pace
+            is_repeated = is_repeat_due and run.is_pace_unconfirmed
             if pace is not None and (pace != current or is_repeated):
                 changes.append((run, pace))
         return changes
@@ -94,7 +94,7 @@
     if run.measurement is None:
         return None
     share = run.measurement / 1000 / run.tail_limit
-    is_full_period = run.percent_at - run.moved_at >= _MEASURE_SECONDS
+    is_full_period = run.percent_at - run.progressed_at >= _MEASURE_SECONDS
     return share if is_full_period or share > _SLOW_DOWN_SHARE else None
 
 
--- a/papayapick/placement/progress.py
+++ b/papayapick/placement/progress.py
@@ -123,17 +123,17 @@
 
 
 def _reports_progress(run):
-    is_at_work = run.phase == RunPhase.RUNNING and run.was_seen
-    return is_at_work and run.is_measured and run.percent < _FULL
+    is_at_work = run.phase == RunPhase.RUNNING and run.was_listed
+    return is_at_work and run.shows_worker_speed and run.percent < _FULL
 
 
 def _is_stalled(run):
     # The first report only shows the initial progress. A worker that carried out the
     # start order late, or did not report since, would seem to have stalled meanwhile.
-    if not run.was_seen_again:
+    if not run.was_listed_again:
         return False
     limit = _STALL_SECONDS + (_RESTORE_SECONDS if run.is_resumed else 0.0)
-    return run.percent_at - run.moved_at >= limit
+    return run.percent_at - run.progressed_at >= limit
 
 
 def may_be_stalled(runs):
@@ -148,7 +148,7 @@
         All runs of the worker.
     """
     return any(
-        run.percent_at - run.moved_at >= _POSSIBLE_STALL_SECONDS
+        run.percent_at - run.progressed_at >= _POSSIBLE_STALL_SECONDS
         for run in runs
         if _reports_progress(run)
     )
--- a/papayapick/pool/laggards.py
+++ b/papayapick/pool/laggards.py
@@ -91,7 +91,7 @@
             **run_fields(run),
             percent=run.percent,
             seconds=round(run.worked_seconds(now), 3),
-            still_seconds=round(run.percent_at - run.moved_at, 3),
+            still_seconds=round(run.percent_at - run.progressed_at, 3),
         )
         self._owner.orders.stop_once(run, now)
 
--- a/papayapick/pool/lists.py
+++ b/papayapick/pool/lists.py
@@ -181,9 +181,9 @@
                 if run.phase == RunPhase.UNSURE:
                     START_FOUND.write(**run_fields(run))
                 self._owner.book.note_started(run)
-            run.was_seen, run.was_seen_again = True, run.was_seen
+            run.was_listed, run.was_listed_again = True, run.was_listed
             if run.percent != found.percent:
-                run.moved_at = now
+                run.progressed_at = now
             run.percent, run.percent_at = found.percent, now
             run.measurement = found.measurement
             if found.checkpoint != run.checkpoint:
@@ -200,7 +200,7 @@
         """
         listed = {(found.key, found.attempt) for found in report.runs}
         for run in list(room.runs.values()):
-            if run.was_there(asked_at) and run.name not in listed:
+            if run.ran_before(asked_at) and run.name not in listed:
                 RUN_VANISHED.write(**run_fields(run))
                 room.release(run)
                 self._owner.book.end(
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -136,7 +136,7 @@
                 return
             now = self._owner.now()
             if outcome == StartOutcome.STARTED:
-                run.answered_at = now
+                run.start_confirmed_at = now
                 self._owner.book.note_started(run)
             elif outcome == StartOutcome.UNKNOWN:
                 if run.phase == RunPhase.ORDERED:
@@ -261,7 +261,7 @@
             STOP_REFUSED.write(worker=link.worker, status=error.details["status"])
             return
         self.note_stop_confirmed(run)
-        if run.phase == RunPhase.STOPPING and not run.was_seen:
+        if run.phase == RunPhase.STOPPING and not run.was_listed:
             # It may never have started; then no end is listed for it, and only a
             # list asked for from now on shows that its room is free.
             link.look_again()
@@ -272,7 +272,7 @@
             link.client.pace(run.key, run.attempt, percent, self._owner.row.epoch)
         except WorkerSilent as error:
             # It may have been carried out, or may be later.
-            run.pace, run.has_lost_pace = None, True
+            run.pace, run.is_pace_unconfirmed = None, True
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
         except CheckFailed as error:
--- a/tests/pool/test_lives.py
+++ b/tests/pool/test_lives.py
@@ -75,7 +75,7 @@
 def test_order_without_an_answer_is_waited_for(load):
     # The order may be carried out by the next life under the same id.
     run = runs(load)[0]
-    run.phase, run.was_seen = RunPhase.UNSURE, False
+    run.phase, run.was_listed = RunPhase.UNSURE, False
     assert look(load, Machines(load.other, "")) == 3
 
 
