--- a/benchmarks/timeliness.py
+++ b/benchmarks/timeliness.py
@@ -35,7 +35,7 @@
 def by_arrival(steps, now):
     """Return steps in the order of their arrival, as they were served before."""
     return sorted(
-        steps, key=lambda step: (step.job.queue.priority, step.job.arrived, step.key)
+        steps, key=lambda step: (step.job.queue.priority, step.job.arrived_at, step.key)
     )
 
 
--- a/papayapick/jobs/documents.py
+++ b/papayapick/jobs/documents.py
@@ -4,7 +4,7 @@
 
 from papayapick.ledger.amounts import Amounts
 
-__all__ = ["JobDocument", "Step", "StepKey", "TaskKey", "remaining_chains"]
+__all__ = ["JobDocument", "Step", "StepKey", "TaskKey", "remaining_critical_paths"]
 
 
 class TaskKey(NamedTuple):
@@ -237,7 +237,7 @@
         return cls(**fields)
 
 
-def remaining_chains(steps):
+def remaining_critical_paths(steps):
     """Return, for each step, the estimated seconds from its start to the job's end.
 
     Parameters
@@ -255,9 +255,9 @@
     >>> remaining_chains(steps)
     [5.0, 3.0, 0.5]
     """
-    chains = [step.estimate_seconds for step in steps]
+    critical_paths = [step.estimate_seconds for step in steps]
     for number in reversed(range(len(steps))):
         for earlier in steps[number].after:
-            longest = steps[earlier].estimate_seconds + chains[number]
-            chains[earlier] = max(chains[earlier], longest)
-    return chains
+            longest = steps[earlier].estimate_seconds + critical_paths[number]
+            critical_paths[earlier] = max(critical_paths[earlier], longest)
+    return critical_paths
--- a/papayapick/jobs/outcomes.py
+++ b/papayapick/jobs/outcomes.py
@@ -116,7 +116,7 @@
             if task.is_done:
                 continue
             task.is_done = True
-            step.left -= 1
+            step.unfinished_tasks -= 1
             step.waiting.discard(number)
             # The members of a gang end together. Copies must be told to, and so must
             # a gang that was started again before this end came.
@@ -134,8 +134,8 @@
         job = step.job
         occurrence = step.key.occurrence
         if all(one.is_done for one in job.occurrences[occurrence]):
-            job.over.add(occurrence)
-            if len(job.over) >= max(1, job.document.occurrences):
+            job.finished_occurrences.add(occurrence)
+            if len(job.finished_occurrences) >= max(1, job.document.occurrences):
                 self._registry.finish(job, JobStatus.COMPLETED, now)
             elif job.document.is_timed:
                 # Steps of an occurrence that is over are not asked for again.
--- a/papayapick/jobs/records.py
+++ b/papayapick/jobs/records.py
@@ -18,8 +18,8 @@
     record = {"status": job.status}
     if job.is_final:
         return record
-    if job.over:
-        record["over"] = sorted(job.over)
+    if job.finished_occurrences:
+        record["over"] = sorted(job.finished_occurrences)
     record["occurrences"] = {
         str(number): [_step_record(step) for step in steps]
         for number, steps in job.occurrences.items()
@@ -39,7 +39,7 @@
     job.status = job.durable_status = record["status"]
     if job.is_final:
         return
-    job.over = set(record.get("over", ()))
+    job.finished_occurrences = set(record.get("over", ()))
     for number, steps in record.get("occurrences", {}).items():
         states = job.open_occurrence(int(number))
         for state, found in zip(states, steps, strict=True):
@@ -75,7 +75,7 @@
     for index, task in enumerate(step.tasks):
         if done >> index & 1:
             task.is_done = True
-            step.left -= 1
+            step.unfinished_tasks -= 1
     for index, attempt in record.get("attempts", {}).items():
         step.tasks[int(index)].attempt = attempt
     for index, place in record.get("places", {}).items():
--- a/papayapick/jobs/schedule.py
+++ b/papayapick/jobs/schedule.py
@@ -49,7 +49,7 @@
     def _open_due_of(self, job, wall_now, on_open):
         document = job.document
         for number in range(document.occurrences):
-            if number in job.over or number in job.occurrences:
+            if number in job.finished_occurrences or number in job.occurrences:
                 continue
             due = document.due_at(number)
             if due > wall_now:
--- a/papayapick/jobs/state.py
+++ b/papayapick/jobs/state.py
@@ -1,6 +1,6 @@
 """Hold what is known of a job, its steps and tasks while it is not over."""
 
-from papayapick.jobs.documents import StepKey, remaining_chains
+from papayapick.jobs.documents import StepKey, remaining_critical_paths
 
 __all__ = ["JobState", "JobStatus", "StepState", "TaskState"]
 
@@ -119,7 +119,7 @@
         "is_ready",
         "job",
         "key",
-        "left",
+        "unfinished_tasks",
         "preempted_at",
         "ready_at",
         "step",
@@ -135,7 +135,7 @@
         self.key = StepKey(job.document.identifier, occurrence, number)
         self.step = job.document.steps[number]
         self.tasks = [TaskState() for _ in range(self.step.tasks)]
-        self.left = self.step.tasks
+        self.unfinished_tasks = self.step.tasks
         self.waiting = set()
         self.is_ready = False
         self.ready_at = 0.0
@@ -156,7 +156,7 @@
     @property
     def is_done(self):
         """Return whether all of its tasks have ended as done."""
-        return self.left == 0
+        return self.unfinished_tasks == 0
 
     def note_done_run(self, seconds):
         """Take in how long a run took that ended as done."""
@@ -175,7 +175,7 @@
     ----------
     document : JobDocument
     queue : Queue
-    arrived : float
+    arrived_at : float
         Monotonic seconds at which its owner learned of it, or at which it was accepted
         under an earlier owner.
 
@@ -191,45 +191,45 @@
         Where its last failure was.
     occurrences : dict of int to list of StepState
         Those that are due and not over.
-    over : set of int
+    finished_occurrences : set of int
         Occurrences that are over.
-    chains : list of float
+    critical_paths : list of float
         For each step, the estimated seconds from its start to the job's end.
-    chain_seconds : float
+    critical_path_seconds : float
         The longest of them.
     """
 
     __slots__ = (
-        "arrived",
-        "chain_seconds",
-        "chains",
+        "arrived_at",
+        "critical_path_seconds",
+        "critical_paths",
         "document",
         "durable_status",
         "failed_task",
         "failed_worker",
         "finished_at",
-        "is_begun",
+        "has_placed_task",
         "occurrences",
-        "over",
+        "finished_occurrences",
         "queue",
         "status",
     )
 
-    def __init__(self, document, queue, arrived):
+    def __init__(self, document, queue, arrived_at):
         self.document = document
         self.queue = queue
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.status = JobStatus.WAITING
         self.durable_status = JobStatus.WAITING
         self.failed_task = None
         self.failed_worker = ""
         self.finished_at = None
         # A task of it was placed by this owner.
-        self.is_begun = False
+        self.has_placed_task = False
         self.occurrences = {}
-        self.over = set()
-        self.chains = remaining_chains(document.steps)
-        self.chain_seconds = max(self.chains, default=0.0)
+        self.finished_occurrences = set()
+        self.critical_paths = remaining_critical_paths(document.steps)
+        self.critical_path_seconds = max(self.critical_paths, default=0.0)
 
     @property
     def identifier(self):
--- a/papayapick/placement/timeliness.py
+++ b/papayapick/placement/timeliness.py
@@ -44,17 +44,17 @@
     """
     job = step.job
     if job.document.is_timed or step.step.is_lasting:
-        return Timeliness.IN_TIME, job.arrived
+        return Timeliness.IN_TIME, job.arrived_at
     objective = _objective(job)
-    remaining = job.chains[step.key.step]
+    remaining = job.critical_paths[step.key.step]
     for timeliness, factor in (
         (Timeliness.IN_TIME, 1.0),
         (Timeliness.LATE, _LATE_FACTOR),
     ):
-        latest = job.arrived + factor * objective - remaining
+        latest = job.arrived_at + factor * objective - remaining
         if now <= latest:
             return timeliness, latest
-    return Timeliness.OVERDUE, job.arrived
+    return Timeliness.OVERDUE, job.arrived_at
 
 
 def useful_seconds(job):
@@ -72,4 +72,4 @@
 
 
 def _objective(job):
-    return job.queue.stretch * job.chain_seconds + job.queue.objective_seconds
+    return job.queue.stretch * job.critical_path_seconds + job.queue.objective_seconds
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -230,9 +230,9 @@
 
     def _begin(self, step, index, worker, attempt):
         now = self._owner.now()
-        if step.job.status == JobStatus.WAITING and not step.job.is_begun:
-            step.job.is_begun = True
-            FIRST_START_SECONDS.observe(now - step.job.arrived)
+        if step.job.status == JobStatus.WAITING and not step.job.has_placed_task:
+            step.job.has_placed_task = True
+            FIRST_START_SECONDS.observe(now - step.job.arrived_at)
             self.backlog.note_first_start(step.job.document.queue, now)
         run = self._owner.book.begin(step, index, worker, now, attempt)
         room = self._owner.rooms.get(worker)
--- a/papayapick/pool/journal.py
+++ b/papayapick/pool/journal.py
@@ -163,11 +163,13 @@
 
     def _note_ended(self, job, status):
         failed = job.failed_task
-        COMPLETION_SECONDS.labels(status).observe(self._clock.monotonic() - job.arrived)
+        COMPLETION_SECONDS.labels(status).observe(
+            self._clock.monotonic() - job.arrived_at
+        )
         JOB_ENDED.write(
             request_id=job.identifier,
             status=status,
-            seconds=round(self._clock.monotonic() - job.arrived, 3),
+            seconds=round(self._clock.monotonic() - job.arrived_at, 3),
             deciding_step=failed and failed.step,
             deciding_task=failed and failed.index,
             deciding_worker=job.failed_worker,
--- a/tests/jobs/test_registry.py
+++ b/tests/jobs/test_registry.py
@@ -103,7 +103,7 @@
     first, _ = _begin_all(registry)
     _end(registry, first, "done")
     _end(registry, first, "done")
-    assert job.occurrences[0][0].left == 1
+    assert job.occurrences[0][0].unfinished_tasks == 1
 
 
 def test_end_as_done_counts_though_the_task_was_started_again(registry):
--- a/tests/pool/test_takeover_progress.py
+++ b/tests/pool/test_takeover_progress.py
@@ -80,7 +80,7 @@
     document.accepted_at = host.clock.time() + 20.0
     store_job(host, document)
     owner = owner_of(host)
-    assert owner.book.get(ID).arrived == host.clock.monotonic()
+    assert owner.book.get(ID).arrived_at == host.clock.monotonic()
 
 
 def test_job_is_not_overdue_as_the_clock_of_the_new_owner_is_ahead(monkeypatch):
