--- a/papayapick/jobs/documents.py
+++ b/papayapick/jobs/documents.py
@@ -252,7 +252,7 @@
     --------
     >>> one = Amounts(1000, 64)
     >>> steps = [Step(1, one, 2.0), Step(1, one, 3.0, [0]), Step(1, one, 0.5, [0])]
-    >>> remaining_chains(steps)
+    >>> remaining_critical_paths(steps)
     [5.0, 3.0, 0.5]
     """
     critical_paths = [step.estimate_seconds for step in steps]
