--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -18,7 +18,7 @@
     ----------
     changed : set of str
         Jobs whose progress is to be journaled.
-    news : set of str
+    status_changes : set of str
         Jobs whose status has changed since it was last told.
     to_stop : list of Run
         Runs that nothing needs any more, for the caller to stop.
@@ -32,7 +32,7 @@
         "_open_steps",
         "_schedule",
         "changed",
-        "news",
+        "status_changes",
         "to_stop",
     )
 
@@ -47,7 +47,7 @@
         self._held = HeldTasks(self, self._outcomes)
         self._schedule = Schedule()
         self.changed = set()
-        self.news = set()
+        self.status_changes = set()
         self.to_stop = []
 
     def __contains__(self, identifier):
@@ -94,7 +94,7 @@
         self._jobs[document.identifier] = job
         if record is not None:
             restore_progress(job, record)
-        self.news.add(job.identifier)
+        self.status_changes.add(job.identifier)
         if job.is_final:
             job.finished_at = now
             return job
@@ -270,7 +270,7 @@
         job.finished_at = now
         self._live.pop(job.identifier, None)
         self.changed.add(job.identifier)
-        self.news.add(job.identifier)
+        self.status_changes.add(job.identifier)
         self._schedule.remove(job)
         for step in job.steps():
             step.waiting.clear()
@@ -314,7 +314,7 @@
     def _note_running(self, job):
         if job.status == JobStatus.WAITING:
             job.status = JobStatus.RUNNING
-            self.news.add(job.identifier)
+            self.status_changes.add(job.identifier)
 
     def remove_run(self, run):
         """Forget a run that is at work no more."""
--- a/papayapick/pool/journal.py
+++ b/papayapick/pool/journal.py
@@ -153,7 +153,7 @@
                 is_told = job.durable_status == status
                 job.durable_status = status
                 if status in JobStatus.FINAL:
-                    owner.book.news.add(job.identifier)
+                    owner.book.status_changes.add(job.identifier)
                     if not is_told:
                         self._note_ended(job, status)
             for link, number, born in ends:
--- a/papayapick/pool/news.py
+++ b/papayapick/pool/news.py
@@ -44,7 +44,10 @@
         dict of str to str
         """
         with self._owner.lock:
-            news, self._owner.book.news = self._owner.book.news, set()
+            news, self._owner.book.status_changes = (
+                self._owner.book.status_changes,
+                set(),
+            )
             jobs = [self._owner.book.get(identifier) for identifier in news]
             return {job.identifier: _shown(job) for job in jobs if job is not None}
 
--- a/tests/pool/test_news.py
+++ b/tests/pool/test_news.py
@@ -32,7 +32,7 @@
     assert load.owner.news.all_states() == {job.identifier: JobStatus.RUNNING}
     assert load.owner.news.take() == {job.identifier: JobStatus.RUNNING}
     job.durable_status = JobStatus.COMPLETED
-    load.owner.book.news.add(job.identifier)
+    load.owner.book.status_changes.add(job.identifier)
     assert load.owner.news.take() == {job.identifier: JobStatus.COMPLETED}
 
 
