--- a/papayapick/jobs/held_tasks.py
+++ b/papayapick/jobs/held_tasks.py
@@ -44,7 +44,7 @@
                 if self.hold_if_required(step, index):
                     step.waiting.discard(index)
             if not step.waiting:
-                self._registry.close_step(step)
+                self._registry.dequeue_step(step)
 
     def deactivate(self):
         """Keep back no more; what is kept back stays so until it is let go."""
@@ -82,10 +82,10 @@
             self._release(step, index)
         for step in {step for step, _ in clear}:
             if not any(held is step for held, _ in self._tasks):
-                self._outcomes.settle_gang(step, now)
+                self._outcomes.stop_partial_gang(step, now)
 
     def _release(self, step, index):
         task = step.tasks[index]
         task.refresh_place()
         if not (task.is_done or task.runs or step.job.is_final):
-            self._registry.wait(step, index)
+            self._registry.enqueue_task(step, index)
--- a/papayapick/jobs/outcomes.py
+++ b/papayapick/jobs/outcomes.py
@@ -37,7 +37,7 @@
             self._break_gang(step, now)
         elif not task.runs:
             # With a copy dropped, the first run may be at work.
-            self._registry.wait_again(step, run.key.index)
+            self._registry.requeue_task(step, run.key.index)
 
     def end(self, key, attempt, outcome, checkpoint, worker, now):
         """Take note of the end of a run.
@@ -82,7 +82,7 @@
             if not self._is_of_earlier_run(step, attempt):
                 self._break_gang(step, now)
         elif not task.runs:
-            self._registry.wait_again(step, key.index)
+            self._registry.requeue_task(step, key.index)
 
     @staticmethod
     def _is_of_earlier_run(step, attempt):
@@ -95,7 +95,7 @@
         active = step.active_runs()
         return bool(active) and all(run.attempt > attempt for run in active)
 
-    def settle_gang(self, step, now):
+    def stop_partial_gang(self, step, now):
         """Stop a gang that is at work without all of its members.
 
         The owner before may have died between the orders of one gang, or an order was
@@ -106,7 +106,7 @@
             return
         if step.waiting and step.active_runs():
             step.waiting.clear()
-            self._registry.close_step(step)
+            self._registry.dequeue_step(step)
             self._break_gang(step, now)
 
     def _note_done(self, step, index, attempt, now):
@@ -126,7 +126,7 @@
                 if run.attempt != attempt or not step.step.is_gang
             ]
         if not step.waiting:
-            self._registry.close_step(step)
+            self._registry.dequeue_step(step)
         if step.is_done:
             self._note_step_done(step, now)
 
@@ -141,7 +141,7 @@
                 # Steps of an occurrence that is over are not asked for again.
                 job.occurrences.pop(occurrence)
             return
-        self._registry.open_ready(job, occurrence, now)
+        self._registry.enqueue_ready_steps(job, occurrence, now)
 
     def _note_failure(self, step, key, attempt, worker, now):
         task = step.tasks[key.index]
@@ -168,4 +168,4 @@
         for index, task in enumerate(step.tasks):
             task.checkpoint = checkpoint
             task.attempt = attempt
-            self._registry.wait_again(step, index)
+            self._registry.requeue_task(step, index)
--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -29,7 +29,7 @@
         "_held",
         "_jobs",
         "_live",
-        "_open_steps",
+        "_queued_steps",
         "_schedule",
         "changed",
         "status_changes",
@@ -42,7 +42,7 @@
         # answer callers. What is done ten times a second looks at the others only.
         self._live = {}
         # Steps that are ready and have a task waiting, by key.
-        self._open_steps = {}
+        self._queued_steps = {}
         self._outcomes = OutcomeHandler(self)
         self._held = HeldTasks(self, self._outcomes)
         self._schedule = Schedule()
@@ -67,7 +67,7 @@
 
     def waiting_steps(self):
         """Return the ready steps that have a task to start, as a list."""
-        return list(self._open_steps.values())
+        return list(self._queued_steps.values())
 
     def add(self, document, queue, now, record=None, age=0.0):
         """Add a job that was accepted.
@@ -104,13 +104,13 @@
         elif not job.occurrences:
             job.open_occurrence(0)
         for number in list(job.occurrences):
-            self.open_ready(job, number, now)
+            self.enqueue_ready_steps(job, number, now)
         return job
 
     def open_due(self, wall_now, now):
         """Open the occurrences whose time has come; see ``Schedule.open_due``."""
         return self._schedule.open_due(
-            wall_now, lambda job, number: self.open_ready(job, number, now)
+            wall_now, lambda job, number: self.enqueue_ready_steps(job, number, now)
         )
 
     def cancel(self, identifier, now):
@@ -128,7 +128,7 @@
             self.finish(job, JobStatus.CANCELLED, now)
         return True
 
-    def forget(self, identifier):
+    def remove(self, identifier):
         """Drop a job that is over."""
         self._jobs.pop(identifier, None)
         self._live.pop(identifier, None)
@@ -162,7 +162,7 @@
         # What was held for it is taken; a later hold has a time of its own.
         step.held_on.pop(worker, None)
         if not step.waiting:
-            self.close_step(step)
+            self.dequeue_step(step)
         self.changed.add(step.job.identifier)
         return run
 
@@ -201,8 +201,8 @@
         else:
             step.waiting.discard(index)
             if not step.waiting:
-                self.close_step(step)
-            self._outcomes.settle_gang(step, now)
+                self.dequeue_step(step)
+            self._outcomes.stop_partial_gang(step, now)
         return run
 
     def note_started(self, run):
@@ -274,11 +274,11 @@
         self._schedule.remove(job)
         for step in job.steps():
             step.waiting.clear()
-            self.close_step(step)
+            self.dequeue_step(step)
             if status != JobStatus.COMPLETED or not step.step.is_gang:
                 self.to_stop += step.active_runs()
 
-    def open_ready(self, job, occurrence, now):
+    def enqueue_ready_steps(self, job, occurrence, now):
         """Let the steps wait for workers whose earlier steps are done."""
         steps = job.occurrences[occurrence]
         for step in steps:
@@ -293,23 +293,23 @@
                         or task.runs
                         or self._held.hold_if_required(step, index)
                     ):
-                        self.wait(step, index)
+                        self.enqueue_task(step, index)
 
-    def wait_again(self, step, index):
+    def requeue_task(self, step, index):
         """Let a task wait that runs nowhere any more, unless it is kept back."""
         if not self._held.hold_if_required(step, index):
             step.tasks[index].refresh_place()
-            self.wait(step, index)
+            self.enqueue_task(step, index)
 
-    def close_step(self, step):
+    def dequeue_step(self, step):
         """Take a step off those that wait for workers."""
         step.held_on.clear()
-        self._open_steps.pop(step.key, None)
+        self._queued_steps.pop(step.key, None)
 
-    def wait(self, step, index):
+    def enqueue_task(self, step, index):
         """Let a task wait for a worker, whatever is kept back."""
         step.waiting.add(index)
-        self._open_steps[step.key] = step
+        self._queued_steps[step.key] = step
 
     def _note_running(self, job):
         if job.status == JobStatus.WAITING:
--- a/papayapick/pool/forgetting.py
+++ b/papayapick/pool/forgetting.py
@@ -49,5 +49,5 @@
         return
     with owner.lock:
         for identifier in old:
-            owner.book.forget(identifier)
+            owner.book.remove(identifier)
             owner.advising.forget(identifier)
--- a/papayapick/pool/sources.py
+++ b/papayapick/pool/sources.py
@@ -166,7 +166,7 @@
             # One record that can't be read must not stop all other jobs, on each
             # host in turn; this job stays as it is until somebody mends it.
             RECORD_REFUSED.write_failure(request_id=row.key)
-            self._owner.book.forget(row.key)
+            self._owner.book.remove(row.key)
             return
         if not job.is_final:
             self._note_taken(job)
