--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -20,7 +20,7 @@
         "capacity",
         "free",
         "held",
-        "is_aside",
+        "is_quarantined",
         "is_open",
         "name",
         "reservations",
@@ -33,7 +33,7 @@
         self.free = capacity
         self.held = _NOTHING
         self.shown = _NOTHING
-        self.is_aside = False
+        self.is_quarantined = False
         self.is_open = False
         self.reservations = set()
 
@@ -124,12 +124,12 @@
             host.is_open = False
             self._change(host, host.free)
 
-    def set_aside(self, name, is_aside):
+    def set_quarantined(self, name, is_quarantined):
         """Keep new work from an open host, or let it go there again."""
         with self._lock:
             host = self._host(name)
-            if host.is_aside != is_aside:
-                host.is_aside = is_aside
+            if host.is_quarantined != is_quarantined:
+                host.is_quarantined = is_quarantined
                 self._change(host, host.free)
 
     def is_open(self, name):
@@ -156,7 +156,7 @@
             if reservation in self._reservations:
                 return
             host = self._host(name)
-            if host.is_aside or not host.is_open or not demand.fits_in(host.free):
+            if host.is_quarantined or not host.is_open or not demand.fits_in(host.free):
                 raise HostFull(host=name, demand=demand)
             self._take(host, reservation, demand)
 
@@ -230,7 +230,7 @@
             return [
                 host.name
                 for host in self._hosts.values()
-                if host.is_open and not host.is_aside
+                if host.is_open and not host.is_quarantined
             ]
 
     def tightest(self, demand):
@@ -327,7 +327,7 @@
         self._accelerated.discard(host.name)
         shown = host.free - host.held
         # An overfilled host stands in no index: none of it is free.
-        is_taking = host.is_open and not host.is_aside
+        is_taking = host.is_open and not host.is_quarantined
         is_shown = is_taking and _NOTHING.fits_in(shown)
         before, host.shown = host.shown, shown if is_shown else _NOTHING
         self._shown = self._shown + host.shown - before
--- a/papayapick/placement/failures.py
+++ b/papayapick/placement/failures.py
@@ -137,10 +137,10 @@
         suspect.quarantine_seconds = min(_MAX_QUARANTINE_SECONDS, doubled)
         suspect.quarantined_until = now + suspect.quarantine_seconds
         self._quarantined.add(host)
-        self._ledger.set_aside(host, True)
+        self._ledger.set_quarantined(host, True)
 
     def _readmit(self, host):
         if host in self._quarantined:
             self._quarantined.discard(host)
             if host in self._ledger:
-                self._ledger.set_aside(host, False)
+                self._ledger.set_quarantined(host, False)
