--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -86,7 +86,7 @@
 
     def step(number):
         demand = demands[number]
-        name = ledger.tightest(demand)
+        name = ledger.best_fit(demand)
         if name is not None:
             ledger.reserve(name, number, demand)
             ledger.release(number)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -179,7 +179,7 @@
     for _ in range(200):
         began = time.perf_counter()
         if is_indexed:
-            found = ledger.tightest(demand)
+            found = ledger.best_fit(demand)
         else:
             found = next(name for name in order if demand.fits_in(ledger.free(name)))
         spent.append(time.perf_counter() - began)
--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -233,7 +233,7 @@
                 if host.is_open and not host.is_quarantined
             ]
 
-    def tightest(self, demand):
+    def best_fit(self, demand):
         """Return the open host that holds a demand with least left over.
 
         Returns
@@ -290,7 +290,7 @@
         with self._lock:
             return self._kept.capacities
 
-    def may_hold(self, demand, members):
+    def may_have_room(self, demand, members):
         """Return whether so many members fit in all free room taken together.
 
         It refuses most large jobs without a try; a true answer promises nothing.
--- a/papayapick/placement/gangs.py
+++ b/papayapick/placement/gangs.py
@@ -45,7 +45,7 @@
     """
     places = []
     with ledger.lock:
-        if not ledger.may_hold(job.demand, job.members):
+        if not ledger.may_have_room(job.demand, job.members):
             return None
         closed = _close(ledger, job.avoid)
         try:
--- a/papayapick/placement/host_policies.py
+++ b/papayapick/placement/host_policies.py
@@ -19,7 +19,7 @@
 
     def choose(self, ledger, demand):
         """Return the best fit from the ledger's index, or None."""
-        return ledger.tightest(demand)
+        return ledger.best_fit(demand)
 
 
 class RandomFit:
--- a/tests/ledger/test_hosts.py
+++ b/tests/ledger/test_hosts.py
@@ -84,7 +84,7 @@
             assert (before[name] + demand).fits_in(account.capacities[name])
     for name in ledger.open_hosts():
         assert ledger.free(name) == account.capacities[name] - account.used(name)
-    found = ledger.tightest(wanted)
+    found = ledger.best_fit(wanted)
     fitting = [
         name for name in ledger.open_hosts() if wanted.fits_in(ledger.free(name))
     ]
@@ -117,7 +117,7 @@
     ],
 )
 def test_the_tightest_host_that_fits_is_chosen(demand, expected):
-    assert ledger_of(*CAPACITIES).tightest(demand) == expected
+    assert ledger_of(*CAPACITIES).best_fit(demand) == expected
 
 
 def test_work_without_accelerators_leaves_them_their_share():
@@ -128,11 +128,11 @@
     """
     ledger = ledger_of(Amounts(8000, 8192, 8))
     number = 0
-    while (name := ledger.tightest(Amounts(1000, 1024))) is not None:
+    while (name := ledger.best_fit(Amounts(1000, 1024))) is not None:
         ledger.reserve(name, f"small-{number}", Amounts(1000, 1024))
         number += 1
     assert number == 4
-    assert ledger.tightest(Amounts(4000, 4096, 8)) == "worker-0"
+    assert ledger.best_fit(Amounts(4000, 4096, 8)) == "worker-0"
 
 
 def test_an_overfilled_host_takes_nothing_until_it_has_room():
@@ -143,11 +143,11 @@
     """
     ledger = ledger_of(Amounts(2000, 2048))
     ledger.restore("worker-0", "found", Amounts(3000, 1024))
-    assert ledger.tightest(Amounts()) is None
+    assert ledger.best_fit(Amounts()) is None
     with pytest.raises(HostFull):
         ledger.reserve("worker-0", "new", Amounts(1, 1))
     ledger.release("found")
-    assert ledger.tightest(Amounts(2000, 2048)) == "worker-0"
+    assert ledger.best_fit(Amounts(2000, 2048)) == "worker-0"
 
 
 def test_many_hosts_without_memory_are_not_looked_at():
@@ -166,7 +166,7 @@
             return super().fits_in(other)
 
     ledger = ledger_of(*[Amounts(16000, 1024)] * 500, Amounts(16000, 65536))
-    assert ledger.tightest(Watched(1000, 4096)) == "worker-500"
+    assert ledger.best_fit(Watched(1000, 4096)) == "worker-500"
     assert len(looked) <= 40
 
 
@@ -185,5 +185,5 @@
     All hosts have accelerators, and each keeps half of itself for them.
     """
     ledger = ledger_of(Amounts(8000, 8192, 1))
-    assert ledger.tightest(Amounts(6000, 1024)) == "worker-0"
-    assert ledger.tightest(Amounts(9000, 1024)) is None
+    assert ledger.best_fit(Amounts(6000, 1024)) == "worker-0"
+    assert ledger.best_fit(Amounts(9000, 1024)) is None
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -52,7 +52,7 @@
     earlier = cell.take_over("placer-a")
     cell.platform.board.set("worker-1", "down")
     newer = cell.take_over("placer-b")
-    assert newer.hosts.tightest(Amounts(processors=1)) is None
+    assert newer.hosts.best_fit(Amounts(processors=1)) is None
     cell.platform.board.clear("worker-1")
     cell.start(earlier, "first", CAPACITY)
     cell.refresh(newer)
