--- a/papayapick/ledger/kept.py
+++ b/papayapick/ledger/accelerator_reserve.py
@@ -4,12 +4,12 @@
 
 from papayapick.ledger.amounts import Amounts
 
-__all__ = ["KeptRoom"]
+__all__ = ["AcceleratorReserve"]
 
 _NOTHING = Amounts()
 
 
-class KeptRoom:
+class AcceleratorReserve:
     """Know the capacities of the hosts, and what of each other work leaves free.
 
     Parameters
@@ -33,7 +33,7 @@
         """Count a host."""
         self._capacities[capacity] += 1
 
-    def forget(self, capacity):
+    def remove(self, capacity):
         """Count a host no longer."""
         self._capacities[capacity] -= 1
         if not self._capacities[capacity]:
@@ -46,18 +46,18 @@
             found += hosts * _times(demand, capacity, members)
         return found >= members
 
-    def may_use(self, demand):
+    def may_use_reserve(self, demand):
         """Return whether a demand may use what is kept.
 
         Besides work for accelerators this is work that no host could hold beside
         idle accelerators: it would never run.
         """
         return demand.accelerators or not any(
-            demand.fits_in(capacity - self.amounts(capacity, capacity))
+            demand.fits_in(capacity - self.reserved_amounts(capacity, capacity))
             for capacity in self._capacities
         )
 
-    def amounts(self, capacity, free):
+    def reserved_amounts(self, capacity, free):
         """Return what other work leaves to the free accelerators of a host."""
         if not capacity.accelerators:
             return _NOTHING
--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -2,15 +2,15 @@
 
 import threading
 
+from papayapick.ledger.accelerator_reserve import AcceleratorReserve
 from papayapick.ledger.amounts import Amounts
 from papayapick.ledger.exceptions import HostFull, HostUnknown, ReservationUnknown
-from papayapick.ledger.kept import KeptRoom
 from papayapick.ledger.rooms import RoomIndex
 
 __all__ = ["HostLedger"]
 
 # Of each free accelerator's share of its host, what other work must leave free.
-KEPT_PERCENT = 50
+RESERVED_PERCENT = 50
 _WITHOUT_ACCELERATORS = -1
 _NOTHING = Amounts()
 
@@ -51,7 +51,7 @@
 
     Parameters
     ----------
-    kept_percent : int
+    reserved_percent : int
         Of each free accelerator's share of its host's processors and memory,
         what work without accelerators leaves free.
     """
@@ -59,7 +59,7 @@
     __slots__ = (
         "_accelerated",
         "_hosts",
-        "_kept",
+        "_reserve",
         "_lock",
         "_plain",
         "_reservations",
@@ -67,12 +67,12 @@
         "_version",
     )
 
-    def __init__(self, kept_percent=KEPT_PERCENT):
+    def __init__(self, reserved_percent=RESERVED_PERCENT):
         self._hosts = {}
         self._reservations = {}
         self._plain = RoomIndex()
         self._accelerated = RoomIndex()
-        self._kept = KeptRoom(kept_percent)
+        self._reserve = AcceleratorReserve(reserved_percent)
         self._shown = _NOTHING
         self._version = 0
         self._lock = threading.RLock()
@@ -102,10 +102,10 @@
             host = self._hosts.get(name)
             if host is None:
                 self._hosts[name] = _Host(name, capacity)
-                self._kept.add(capacity)
+                self._reserve.add(capacity)
             elif host.capacity != capacity:
-                self._kept.add(capacity)
-                self._kept.forget(host.capacity)
+                self._reserve.add(capacity)
+                self._reserve.remove(host.capacity)
                 free = host.free + capacity - host.capacity
                 host.capacity = capacity
                 self._change(host, free)
@@ -141,7 +141,7 @@
         with self._lock:
             self.close(name)
             host = self._hosts.pop(name)
-            self._kept.forget(host.capacity)
+            self._reserve.remove(host.capacity)
             for reservation in host.reservations:
                 del self._reservations[reservation]
 
@@ -241,7 +241,7 @@
         str or None
         """
         with self._lock:
-            if self._kept.may_use(demand):
+            if self._reserve.may_use_reserve(demand):
                 name = self._accelerated.find(demand)
                 if name is not None:
                     return name
@@ -262,9 +262,9 @@
         Amounts
         """
         host = self._host(name)
-        if not host.capacity.accelerators or self._kept.may_use(demand):
+        if not host.capacity.accelerators or self._reserve.may_use_reserve(demand):
             return free
-        return free - self._kept.amounts(host.capacity, free)
+        return free - self._reserve.reserved_amounts(host.capacity, free)
 
     def grow(self, reservation, used):
         """Raise a reservation to what its task is proved to use; never lower it.
@@ -288,7 +288,7 @@
     def capacities(self):
         """Return the different capacities of the hosts."""
         with self._lock:
-            return self._kept.capacities
+            return self._reserve.capacities
 
     def may_have_room(self, demand, members):
         """Return whether so many members fit in all free room taken together.
@@ -305,7 +305,7 @@
     def could_hold(self, demand, members=1):
         """Return whether the hosts could hold so many members if all were empty."""
         with self._lock:
-            return self._kept.could_hold(demand, members)
+            return self._reserve.could_hold(demand, members)
 
     def _host(self, name):
         if name not in self._hosts:
@@ -337,6 +337,6 @@
             self._plain.add(host.name, shown, _WITHOUT_ACCELERATORS)
             return
         self._accelerated.add(host.name, shown)
-        rest = shown - self._kept.amounts(host.capacity, shown)
+        rest = shown - self._reserve.reserved_amounts(host.capacity, shown)
         if _NOTHING.fits_in(rest):
             self._plain.add(host.name, rest, shown.accelerators)
