--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -54,7 +54,7 @@
 
     def release(self, grant_id, outcome, run_seconds):
         """Give the slot to the first in the queue."""
-        self._ledger.give_back(grant_id)
+        self._ledger.release(grant_id)
         if self._waiting:
             wanted, future = self._waiting.popleft()
             future.set_result(self._grant(wanted))
@@ -67,7 +67,7 @@
         if name is None:
             return None
         self._grants += 1
-        self._ledger.take(name, self._grants)
+        self._ledger.reserve(name, self._grants)
         return SlotGrant(grant_id=self._grants, instance=name)
 
 
--- a/papayapick/ledger/slots.py
+++ b/papayapick/ledger/slots.py
@@ -77,7 +77,7 @@
         for grant in instance.grants:
             del self._grants[grant]
 
-    def take(self, name, grant):
+    def reserve(self, name, grant):
         """Take a slot and a connection of an open instance.
 
         Raises
@@ -96,7 +96,7 @@
         self._grants[grant] = instance
         instance.grants.add(grant)
 
-    def give_back(self, grant):
+    def release(self, grant):
         """Give a slot back on proof that the call has ended.
 
         Returns
--- a/papayapick/placer/slots.py
+++ b/papayapick/placer/slots.py
@@ -253,7 +253,7 @@
             return None
         grant_id = next(self._numbers)
         try:
-            self._ledger.take(name, grant_id)
+            self._ledger.reserve(name, grant_id)
         except LedgerError:
             return None
         # The gateway may use the grant until its longest wait and the use window
@@ -277,7 +277,7 @@
         self._held.remove(grant_id)
         self._line(held.service).note_end(now, now - held.granted_at)
         try:
-            self._ledger.give_back(grant_id)
+            self._ledger.release(grant_id)
         except ReservationUnknown:
             # The instance was removed meanwhile, and its slots with it.
             return
--- a/tests/placement/test_instance_health.py
+++ b/tests/placement/test_instance_health.py
@@ -37,13 +37,13 @@
         return name
 
     def end(self, grant, outcome, seconds):
-        self.ledger.give_back(grant)
+        self.ledger.release(grant)
         self.policy.ended(grant, outcome, seconds)
 
     def begin(self, avoid=()):
         name = self.policy.choose(self.ledger, SERVICE, avoid)
         self.number += 1
-        self.ledger.take(name, self.number)
+        self.ledger.reserve(name, self.number)
         self.policy.granted(SERVICE, name, self.number)
         return self.number, name
 
