--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -12,10 +12,10 @@
 from papayapick.gateway.problems import Answer
 from papayapick.observability import note_fields
 from papayapick.routing import (
-    DeadlineOver,
+    DeadlineExceeded,
     GrantExpired,
+    NoPlacerAnswer,
     NoRoute,
-    PlacerSilent,
     has_moved,
 )
 from papayapick.wire import PeerRefused
@@ -157,7 +157,7 @@
         try:
             grant.check_usable(began)
             if began >= attempts.deadline:
-                raise DeadlineOver(service=admitted.name)
+                raise DeadlineExceeded(service=admitted.name)
             attempts.avoid.append(grant.granted.instance)
             seconds = self._seconds(attempts, is_last, began)
             with tracing.span("gateway.call"):
@@ -223,7 +223,7 @@
                     attempts.avoid,
                     self._process.tracing.traceparent(),
                 )
-            except (PeerRefused, NoRoute, PlacerSilent) as error:
+            except (PeerRefused, NoRoute, NoPlacerAnswer) as error:
                 is_refusal = isinstance(error, PeerRefused)
                 if is_refusal and not has_moved(error):
                     raise
@@ -232,7 +232,7 @@
             clock.wait(self._process.is_stopping, _MOVED_WAIT_SECONDS)
             if clock.monotonic() >= attempts.deadline:
                 break
-        raise DeadlineOver(service=admitted.name)
+        raise DeadlineExceeded(service=admitted.name)
 
     def _wait_seconds(self, service, rest):
         """Return how long a request may wait and still be answered in time."""
--- a/papayapick/routing/__init__.py
+++ b/papayapick/routing/__init__.py
@@ -1,10 +1,10 @@
 """Choose the shard and the instance that serve a call."""
 
 from papayapick.routing.exceptions import (
-    DeadlineOver,
+    DeadlineExceeded,
     GrantExpired,
+    NoPlacerAnswer,
     NoRoute,
-    PlacerSilent,
     RoutingError,
 )
 from papayapick.routing.loads import Candidate, LoadView
@@ -12,14 +12,14 @@
 from papayapick.routing.slots import Grant, SlotClient
 
 __all__ = [
-    "has_moved",
     "Candidate",
-    "DeadlineOver",
+    "DeadlineExceeded",
     "Grant",
     "GrantExpired",
     "LoadView",
+    "NoPlacerAnswer",
     "NoRoute",
-    "PlacerSilent",
     "RoutingError",
     "SlotClient",
+    "has_moved",
 ]
--- a/papayapick/routing/exceptions.py
+++ b/papayapick/routing/exceptions.py
@@ -2,7 +2,13 @@
 
 from papayapick.exceptions import PapayapickError
 
-__all__ = ["DeadlineOver", "GrantExpired", "NoRoute", "PlacerSilent", "RoutingError"]
+__all__ = [
+    "DeadlineExceeded",
+    "GrantExpired",
+    "NoPlacerAnswer",
+    "NoRoute",
+    "RoutingError",
+]
 
 
 class RoutingError(PapayapickError):
@@ -27,14 +33,14 @@
     template = "the slot on {instance} came too late to be used"
 
 
-class DeadlineOver(RoutingError):
+class DeadlineExceeded(RoutingError):
     """Report a deadline that passed before a slot was had."""
 
     code = "routing.deadline-over"
     template = "the deadline passed before a slot of {service} was had"
 
 
-class PlacerSilent(RoutingError):
+class NoPlacerAnswer(RoutingError):
     """Report placers that gave no answer; a slot alone runs nothing."""
 
     code = "routing.placer-silent"
--- a/papayapick/routing/loads.py
+++ b/papayapick/routing/loads.py
@@ -34,11 +34,11 @@
         self.is_refusing = is_refusing
 
 
-class _Own:
-    __slots__ = ("change", "heard_at", "refusing_until")
+class _LocalChanges:
+    __slots__ = ("change", "heartbeat_at", "refusing_until")
 
-    def __init__(self, heard_at):
-        self.heard_at = heard_at
+    def __init__(self, heartbeat_at):
+        self.heartbeat_at = heartbeat_at
         self.change = 0
         self.refusing_until = 0.0
 
@@ -54,12 +54,12 @@
     clock : Clock
     """
 
-    __slots__ = ("_clock", "_lock", "_own", "_silent")
+    __slots__ = ("_clock", "_lock", "_changes", "_unreachable_until")
 
     def __init__(self, clock):
         self._clock = clock
-        self._own = {}
-        self._silent = {}
+        self._changes = {}
+        self._unreachable_until = {}
         self._lock = threading.Lock()
 
     def candidate(self, tier, shard, peer, load):
@@ -82,15 +82,15 @@
             room = load.free_slots - load.waiting - own.change
             return Candidate(tier, shard, peer, room, own.refusing_until > now)
 
-    def note_grant(self, shard, service, heard_at):
+    def note_grant(self, shard, service, heartbeat_at):
         """Count a slot that was had."""
         with self._lock:
-            self._of(shard, service, heard_at).change += 1
+            self._of(shard, service, heartbeat_at).change += 1
 
     def note_release(self, shard, service):
         """Count a slot that was given back."""
         with self._lock:
-            own = self._own.get((shard, service))
+            own = self._changes.get((shard, service))
             if own is not None:
                 own.change -= 1
 
@@ -109,25 +109,26 @@
         to come; until then its former owner gives out slots that are void.
         """
         with self._lock:
-            own = self._own.get((shard, service))
+            own = self._changes.get((shard, service))
             if own is not None:
                 own.change += _VOID
                 own.refusing_until = self._clock.monotonic() + _REFUSAL_SECONDS
 
-    def note_silence(self, peer):
+    def note_unreachable(self, peer):
         """Send nothing to a peer for a while."""
         with self._lock:
-            self._silent[peer.name] = self._clock.monotonic() + _SILENCE_SECONDS
+            now = self._clock.monotonic()
+            self._unreachable_until[peer.name] = now + _SILENCE_SECONDS
 
     def note_answer(self, peer):
         """Take a peer for reachable again."""
-        if peer.name in self._silent:
+        if peer.name in self._unreachable_until:
             with self._lock:
-                self._silent.pop(peer.name, None)
+                self._unreachable_until.pop(peer.name, None)
 
-    def is_silent(self, peer):
+    def is_unreachable(self, peer):
         """Return whether a peer was silent a moment ago."""
-        return self._silent.get(peer.name, 0.0) > self._clock.monotonic()
+        return self._unreachable_until.get(peer.name, 0.0) > self._clock.monotonic()
 
     def may_try(self, peer):
         """Return whether a request may be sent to a peer.
@@ -136,21 +137,21 @@
         waited for the same dead peer would leave none for the living.
         """
         with self._lock:
-            until = self._silent.get(peer.name)
+            until = self._unreachable_until.get(peer.name)
             if until is None:
                 return True
             now = self._clock.monotonic()
             if until > now:
                 return False
-            self._silent[peer.name] = now + _SILENCE_SECONDS
+            self._unreachable_until[peer.name] = now + _SILENCE_SECONDS
             return True
 
-    def _of(self, shard, service, heard_at):
-        own = self._own.get((shard, service))
+    def _of(self, shard, service, heartbeat_at):
+        own = self._changes.get((shard, service))
         if own is None:
-            own = self._own[(shard, service)] = _Own(heard_at)
-        if own.heard_at != heard_at:
+            own = self._changes[(shard, service)] = _LocalChanges(heartbeat_at)
+        if own.heartbeat_at != heartbeat_at:
             # The newer heartbeat has them in its count.
-            own.heard_at = heard_at
+            own.heartbeat_at = heartbeat_at
             own.change = 0
         return own
--- a/papayapick/routing/slots.py
+++ b/papayapick/routing/slots.py
@@ -4,10 +4,10 @@
 
 from papayapick.ownership.assignments import zone_of
 from papayapick.routing.exceptions import (
-    DeadlineOver,
+    DeadlineExceeded,
     GrantExpired,
+    NoPlacerAnswer,
     NoRoute,
-    PlacerSilent,
 )
 from papayapick.routing.loads import LoadView
 from papayapick.wire import PeerRefused, WireError
@@ -145,7 +145,7 @@
         if grant is None:
             grant, error = self._try_to_wait(call, candidates, error)
         if grant is None:
-            raise error or PlacerSilent(service=policy.name)
+            raise error or NoPlacerAnswer(service=policy.name)
         return grant
 
     def release(self, grant, outcome, run_seconds):
@@ -199,7 +199,7 @@
                 break
             rest = call.deadline - self._clock.monotonic()
             if rest <= 0:
-                return None, error or DeadlineOver(service=call.policy.name)
+                return None, error or DeadlineExceeded(service=call.policy.name)
             if not self._loads.may_try(found.peer):
                 continue
             tries += 1
@@ -228,7 +228,7 @@
             caller=call.caller,
             avoid=list(call.avoid),
         )
-        heard_at = peer.last_heard
+        heartbeat_at = peer.last_heard
         try:
             granted = self._answer(peer.client, wanted, wait_seconds, call.traceparent)
         except PeerRefused as refusal:
@@ -236,10 +236,10 @@
             self._loads.note_refusal(candidate, name)
             return None, refusal
         except WireError:
-            self._loads.note_silence(peer)
+            self._loads.note_unreachable(peer)
             return None, None
         self._loads.note_answer(peer)
-        self._loads.note_grant(candidate.shard, name, heard_at)
+        self._loads.note_grant(candidate.shard, name, heartbeat_at)
         # Counted from the asking for a slot given at once, and from the end of
         # the longest wait otherwise: the placer keeps it taken for longer.
         usable_until = asked + wait_seconds + self._settings.grant_seconds
@@ -274,7 +274,7 @@
         with_room = [
             found
             for found in candidates
-            if found.room > 0 and not self._loads.is_silent(found.peer)
+            if found.room > 0 and not self._loads.is_unreachable(found.peer)
         ]
         while with_room:
             nearest = min(found.tier for found in with_room)
--- a/tests/gateway/test_urgent.py
+++ b/tests/gateway/test_urgent.py
@@ -13,7 +13,7 @@
 from papayapick.gateway.exceptions import BackendFailed, CallAnswerMissing
 from papayapick.gateway.urgent import UrgentCalls
 from papayapick.limits import AttemptTimeouts, RetryBudgets
-from papayapick.routing import DeadlineOver, Grant
+from papayapick.routing import DeadlineExceeded, Grant
 from papayapick.wire import PeerRefused
 from papayapick.wire.messages import SlotGrant
 
@@ -260,7 +260,7 @@
     """The slot comes when the caller has gone; the work would run for nobody."""
     bench = Bench(timeout=1.0, retries=0)
     bench.slots.delay = 1.0
-    with pytest.raises(DeadlineOver):
+    with pytest.raises(DeadlineExceeded):
         bench.serve("good")
     assert bench.instances.given == []
     assert bench.slots.released == ["unused"]
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -9,7 +9,7 @@
 from papayapick.bundle.documents import ServicePolicy
 from papayapick.clock import ManualClock
 from papayapick.membership import Peer
-from papayapick.routing import LoadView, NoRoute, PlacerSilent, SlotClient
+from papayapick.routing import LoadView, NoPlacerAnswer, NoRoute, SlotClient
 from papayapick.routing import slots as slots_module
 from papayapick.wire import PeerDisconnected, PeerRefused, PeerUnreachable
 from papayapick.wire.messages import ServiceLoad, ShardSummary, SlotGrant
@@ -187,7 +187,7 @@
     """Sixteen threads wait for one dead placer and none serves the callers."""
     clock = ManualClock()
     view, peer = LoadView(clock), SimpleNamespace(name="placer-a")
-    view.note_silence(peer)
+    view.note_unreachable(peer)
     clock.advance(1.1)
     assert [view.may_try(peer) for _ in range(16)] == [True] + [False] * 15
 
@@ -195,7 +195,7 @@
 def test_all_silent_says_that_nothing_ran():
     bench = Bench({"a.0": ROOM})
     bench["a.0"].script = "broken"
-    with pytest.raises(PlacerSilent) as caught:
+    with pytest.raises(NoPlacerAnswer) as caught:
         bench.acquire()
     assert caught.value.outcome == "not_run"
 
