--- a/benchmarks/cancellations.py
+++ b/benchmarks/cancellations.py
@@ -18,7 +18,7 @@
 from papayapick.clients.types import Row
 from papayapick.clock import SystemClock
 from papayapick.ledger import Amounts
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership.queries import ShardRow
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.shards import Shard
@@ -47,7 +47,7 @@
             executor=self.executor,
             generator=random.Random(1),
             objects=MemoryObjects(),
-            pauses=PauseGuard(self.clock, 1e9),
+            pauses=PauseDetector(self.clock, 1e9),
             settings=SimpleNamespace(
                 task_lease_seconds=10.0, journal_linger_seconds=0.01
             ),
--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -278,8 +278,8 @@
         request.avoid.append(name)
         seconds, outcome = self._service(name)
         limit = request.deadline - now
-        if request.tries == 1 and self.budgets.of("counts").has_retry:
-            limit = self.timeouts.first_try("counts", limit)
+        if request.tries == 1 and self.budgets.of("counts").can_retry:
+            limit = self.timeouts.first_attempt_seconds("counts", limit)
         if seconds <= limit:
             self.running[name].add(request_id)
             self.events.after(seconds, self.running[name].discard, request_id)
--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -70,7 +70,7 @@
         A bundle of another cell is refused.
     on_change : callable, optional
         Called with the new bundle after the swap.
-    pauses : PauseGuard, optional
+    pauses : PauseDetector, optional
         After a pause the head is looked at again before it counts as confirmed.
     """
 
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -8,7 +8,7 @@
 from papayapick.clients import HostList, HttpPool, ObjectStore, Table
 from papayapick.clients.exceptions import PlatformError, TableUnavailable
 from papayapick.clock import SystemClock
-from papayapick.limits import PauseGuard
+from papayapick.limits import PauseDetector
 from papayapick.membership import LookGate, Peers
 from papayapick.observability import (
     Metrics,
@@ -76,7 +76,7 @@
         self._handler = handler
         self._heartbeat_shards = heartbeat_shards
         self._stopping = threading.Event()
-        self.pauses = PauseGuard(self.clock, settings.pause_seconds)
+        self.pauses = PauseDetector(self.clock, settings.pause_seconds)
         self.platform_pool = HttpPool(settings.platform_timeout_seconds)
         self.table = Table(settings.table_url, self.platform_pool, self._count_table)
         self.objects = ObjectStore(settings.objects_url, self.platform_pool)
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -88,7 +88,7 @@
         retries = admitted.policy.retries
         number = moves = 0
         while True:
-            is_last = number == retries or not budget.has_retry
+            is_last = number == retries or not budget.can_retry
             try:
                 return self._attempt(attempts, is_last)
             except (StaleEpoch, GrantExpired) as error:
@@ -207,7 +207,7 @@
         rest = min(attempts.deadline - now, policy.run_seconds)
         if is_last or not policy.repeatable:
             return rest
-        return self._timeouts.first_try(policy.name, rest)
+        return self._timeouts.first_attempt_seconds(policy.name, rest)
 
     def _slot(self, attempts):
         admitted = attempts.admitted
--- a/papayapick/limits/__init__.py
+++ b/papayapick/limits/__init__.py
@@ -2,7 +2,7 @@
 
 from papayapick.limits.buckets import CallerLimits, TokenBucket
 from papayapick.limits.exceptions import CallerOverLimit, LimitError
-from papayapick.limits.pauses import PauseGuard
+from papayapick.limits.pauses import PauseDetector
 from papayapick.limits.retries import RetryBudget, RetryBudgets
 from papayapick.limits.timeouts import AttemptTimeouts
 
@@ -11,7 +11,7 @@
     "CallerLimits",
     "CallerOverLimit",
     "LimitError",
-    "PauseGuard",
+    "PauseDetector",
     "RetryBudget",
     "RetryBudgets",
     "TokenBucket",
--- a/papayapick/limits/buckets.py
+++ b/papayapick/limits/buckets.py
@@ -35,7 +35,7 @@
         self._then = clock.monotonic()
         self._lock = threading.Lock()
 
-    def use_rate(self, rate, burst):
+    def set_rate(self, rate, burst):
         """Go on at another rate; tokens over the burst are lost."""
         with self._lock:
             self._grow()
@@ -118,7 +118,7 @@
         with self._lock:
             self._count = count
             for name, bucket in self._buckets.items():
-                bucket.use_rate(*self._share(self._limits[name]))
+                bucket.set_rate(*self._share(self._limits[name]))
 
     def _share(self, limit):
         rate = limit["requests_per_second"] / self._count
--- a/papayapick/limits/pauses.py
+++ b/papayapick/limits/pauses.py
@@ -2,10 +2,10 @@
 
 import threading
 
-__all__ = ["PauseGuard"]
+__all__ = ["PauseDetector"]
 
 
-class PauseGuard:
+class PauseDetector:
     """Count the pauses of a process.
 
     A process that was frozen and woken still believes in the shards, grants
@@ -24,9 +24,9 @@
     --------
     >>> from papayapick.clock import ManualClock
     >>> clock = ManualClock()
-    >>> guard = PauseGuard(clock, 1.0)
+    >>> detector = PauseDetector(clock, 1.0)
     >>> clock.advance(5)
-    >>> guard.count()
+    >>> detector.count()
     1
     """
 
--- a/papayapick/limits/retries.py
+++ b/papayapick/limits/retries.py
@@ -36,7 +36,7 @@
         self._lock = threading.Lock()
 
     @property
-    def has_retry(self):
+    def can_retry(self):
         """Return whether a retry could be taken now."""
         return self._saved >= 1
 
--- a/papayapick/limits/timeouts.py
+++ b/papayapick/limits/timeouts.py
@@ -42,11 +42,11 @@
     Examples
     --------
     >>> timeouts = AttemptTimeouts()
-    >>> timeouts.first_try("counts", rest=2.0)
+    >>> timeouts.first_attempt_seconds("counts", rest=2.0)
     1.0
     >>> for _ in range(32):
     ...     timeouts.observe("counts", 0.1)
-    >>> round(timeouts.first_try("counts", rest=2.0), 3)
+    >>> round(timeouts.first_attempt_seconds("counts", rest=2.0), 3)
     0.2
     >>> timeouts.usual_seconds("counts")
     0.1
@@ -67,7 +67,7 @@
         with self._lock:
             self._of(service).add(seconds)
 
-    def first_try(self, service, rest):
+    def first_attempt_seconds(self, service, rest):
         """Return the seconds of a try after which another may follow.
 
         Parameters
--- a/tests/bundle/parts.py
+++ b/tests/bundle/parts.py
@@ -8,7 +8,7 @@
 from papayapick.bundle.commands import accept, propose
 from papayapick.bundle.signing import generate_key
 from papayapick.clock import ManualClock
-from papayapick.limits import PauseGuard
+from papayapick.limits import PauseDetector
 from tests.fakes.scripted import ScriptedTable
 from tests.standins.store import MemoryObjects
 
@@ -60,7 +60,7 @@
     def __init__(self, cell, name):
         self.cell = cell
         self.name = name
-        self.pauses = PauseGuard(cell.clock, PAUSE_SECONDS)
+        self.pauses = PauseDetector(cell.clock, PAUSE_SECONDS)
         self.watcher = BundleWatcher(
             cell.table,
             cell.objects,
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -21,7 +21,7 @@
 )
 from papayapick.clients.objects import digest_of
 from papayapick.clock import ManualClock
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership import read_shard
 from papayapick.placer.owners import ShardOwner
 from papayapick.placer.requests import RequestRunner
@@ -190,7 +190,7 @@
             is_draining=False,
             is_stopping=threading.Event(),
             objects=ObjectStore(URL + "/objects", self.pool),
-            pauses=PauseGuard(cell.clock, 1e9),
+            pauses=PauseDetector(cell.clock, 1e9),
             peers=SimpleNamespace(entries=HostList(URL + "/hosts", self.pool).fetch()),
             settings=SimpleNamespace(host_name=name, journal_linger_seconds=0.0),
             table=Table(URL + "/table", self.pool),
--- a/tests/limits/test_quotas.py
+++ b/tests/limits/test_quotas.py
@@ -80,5 +80,5 @@
     timeouts = AttemptTimeouts()
     for number in range(64):
         timeouts.observe("counts", 0.01 if number else 1.0)
-    assert 0.03 <= timeouts.first_try("counts", rest=2.0) < 1.0
-    assert timeouts.first_try("counts", rest=0.02) <= 0.02 * 0.7
+    assert 0.03 <= timeouts.first_attempt_seconds("counts", rest=2.0) < 1.0
+    assert timeouts.first_attempt_seconds("counts", rest=0.02) <= 0.02 * 0.7
--- a/tests/ownership/parts.py
+++ b/tests/ownership/parts.py
@@ -10,7 +10,7 @@
 from papayapick.clients import InstanceClient, WorkerClient
 from papayapick.clients.hosts import HostEntry
 from papayapick.clock import ManualClock
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership import claim, read_shard
 from papayapick.placer.shards import Shard
 from papayapick.placer.takeover import HostKeeper
@@ -64,7 +64,7 @@
             settings=SimpleNamespace(
                 journal_linger_seconds=0.0, task_lease_seconds=10.0
             ),
-            pauses=PauseGuard(self.clock, 1.0),
+            pauses=PauseDetector(self.clock, 1.0),
             watcher=SimpleNamespace(bundle=BUNDLE),
             executor=self.executor,
         )
--- a/tests/placer/jobcells.py
+++ b/tests/placer/jobcells.py
@@ -12,7 +12,7 @@
 from papayapick.clients.types import Row
 from papayapick.clock import ManualClock
 from papayapick.journal import Journal
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership.queries import ShardRow
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.shards import Shard
@@ -72,7 +72,7 @@
             executor=InlineExecutor(),
             generator=random.Random(1),
             objects=MemoryObjects(),
-            pauses=PauseGuard(self.clock, 1e9),
+            pauses=PauseDetector(self.clock, 1e9),
             settings=SimpleNamespace(
                 task_lease_seconds=LEASE_SECONDS, journal_linger_seconds=0.0
             ),
--- a/tests/spec/test_journal_replay.py
+++ b/tests/spec/test_journal_replay.py
@@ -13,7 +13,7 @@
 from papayapick.clock import ManualClock
 from papayapick.journal import Ended, JournalUnsettled, Started
 from papayapick.journal.queries import read_journal
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership import claim, read_shard
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.shards import Shard
@@ -70,7 +70,7 @@
             objects=MemoryObjects(),
             generator=random.Random(7),
             settings=SimpleNamespace(journal_linger_seconds=0.0),
-            pauses=PauseGuard(self.clock, 1.0),
+            pauses=PauseDetector(self.clock, 1.0),
             watcher=SimpleNamespace(bundle=SimpleNamespace(services=POLICIES)),
             is_stopping=threading.Event(),
         )
