--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -21,7 +21,7 @@
 from papayapick.placement import PowerOfTwo
 from papayapick.placer.listing import HostListing
 from papayapick.placer.slots import SlotDesk
-from papayapick.quotas import QuotaBook
+from papayapick.quotas import QuotaTracker
 from papayapick.wire.messages import SlotRequest
 
 SEED = 7
@@ -290,18 +290,18 @@
     teams = {f"team-{n}": {"processors": 1000 * n} for n in range(TEAMS)}
     tracemalloc.start()
     before = _held()
-    book = QuotaBook()
-    book.use("digest", teams, 52)
+    tracker = QuotaTracker()
+    tracker.set_quotas("digest", teams, 52)
     for name in teams:
-        book.start(name, DEMAND, 1)
+        tracker.add_usage(name, DEMAND, 1)
     per_team = (_held() - before) / TEAMS
     tracemalloc.stop()
 
     def use(number):
-        book.use(f"digest-{number}", teams, 52)
+        tracker.set_quotas(f"digest-{number}", teams, 52)
 
     def ask(number):
-        book.borrows(f"team-{number % TEAMS}", DEMAND, 3)
+        tracker.would_borrow(f"team-{number % TEAMS}", DEMAND, 3)
 
     size = f"{TEAMS} teams"
     yield _row("quotas, a team", per_team, "bytes", size)
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -14,7 +14,7 @@
 from benchmarks.tables import percentile, print_rows
 from papayapick.ledger import Amounts, HostLedger
 from papayapick.placement import ArrivalOrder, DeadlineOrder, JobQueue, WaitingJob
-from papayapick.quotas import QuotaBook, fairness_index
+from papayapick.quotas import QuotaTracker, fairness_index
 
 SEED = 670
 TEAMS = 670
@@ -44,13 +44,13 @@
         for number in range(WORKERS):
             self.ledger.add(f"worker-{number}", CAPACITY)
             self.ledger.open(f"worker-{number}")
-        self.book = QuotaBook()
+        self.tracker = QuotaTracker()
         has_quotas = policy_name != "no quotas"
         if has_quotas:
             teams = {name: {"processors": q} for name, q in self.quotas.items()}
-            self.book.use("bundle", teams, 1)
+            self.tracker.set_quotas("bundle", teams, 1)
         order = DeadlineOrder() if has_quotas else ArrivalOrder()
-        self.queue = JobQueue(self.ledger, order=order, quotas=self.book)
+        self.queue = JobQueue(self.ledger, order=order, quotas=self.tracker)
         self.has_pauses = policy_name == "quotas, pauses"
         self.events, self.number = [], 0
         self.waiting = dict.fromkeys(self.quotas, 0)
--- a/papayapick/placement/pauses.py
+++ b/papayapick/placement/pauses.py
@@ -128,7 +128,7 @@
         if run.job.name in self._paused:
             return False
         released = self._released_by_team.get(run.job.team, _NOTHING)
-        return job.is_urgent or self._quotas.is_over(run.job.team, released)
+        return job.is_urgent or self._quotas.is_over_quota(run.job.team, released)
 
     def _fits(self, name, free, demand):
         return demand.fits_in(self._ledger.usable(name, free, demand))
--- a/papayapick/placement/queue.py
+++ b/papayapick/placement/queue.py
@@ -9,7 +9,7 @@
 from papayapick.placement.pauses import choose_pauses
 from papayapick.placement.starts import Backfill
 from papayapick.placement.team_queues import TeamQueues
-from papayapick.quotas import QuotaBook
+from papayapick.quotas import QuotaTracker
 
 __all__ = ["JobQueue"]
 
@@ -46,7 +46,7 @@
     def __init__(self, ledger, policy=None, order=None, quotas=None):
         self._ledger = ledger
         self._policy = policy or Backfill()
-        self._quotas = quotas or QuotaBook()
+        self._quotas = quotas or QuotaTracker()
         self._waiting = TeamQueues(order or DeadlineOrder(), self._quotas)
         self._deadlines = []
         self._running = {}
@@ -81,7 +81,7 @@
         bundle : Bundle
         """
         with self._lock:
-            self._quotas.use(bundle.digest, bundle.teams, len(bundle.shards()))
+            self._quotas.set_quotas(bundle.digest, bundle.teams, len(bundle.shards()))
 
     def is_running(self, name):
         """Return whether a job is running."""
@@ -181,7 +181,7 @@
             finished = self._running.pop(name, None)
             if finished is not None:
                 job = finished.job
-                self._quotas.finish(job.team, job.demand, job.members)
+                self._quotas.remove_usage(job.team, job.demand, job.members)
         for place in finished.places if finished else ():
             try:
                 self._ledger.release(place.task)
@@ -204,7 +204,7 @@
     def _add_running(self, running):
         job = running.job
         self._running[job.name] = running
-        self._quotas.start(job.team, job.demand, job.members)
+        self._quotas.add_usage(job.team, job.demand, job.members)
 
     def _has_claim(self, job, now):
         if job.is_borrowing:
@@ -237,7 +237,7 @@
         If no job has a promised start, no waiting job can start or get a promise before
         a run ends, and the order does not matter.
         """
-        job.is_borrowing = self._quotas.borrows(job.team, job.demand, job.members)
+        job.is_borrowing = self._quotas.would_borrow(job.team, job.demand, job.members)
         first = self._waiting.get(self.promised)
         if first is None:
             return self.promised is None
--- a/papayapick/placement/team_queues.py
+++ b/papayapick/placement/team_queues.py
@@ -95,7 +95,7 @@
             key, team = heapq.heappop(heap)
             job = self._jobs[key[1]]
             before = planned.get(team, 0)
-            if self._quotas.borrows(team, job.demand, before + job.members):
+            if self._quotas.would_borrow(team, job.demand, before + job.members):
                 borrowers.append(team)
                 continue
             planned[team] = before + job.members
--- a/papayapick/quotas/shares.py
+++ b/papayapick/quotas/shares.py
@@ -4,12 +4,12 @@
 
 from papayapick.ledger import Amounts
 
-__all__ = ["QuotaBook"]
+__all__ = ["QuotaTracker"]
 
 _NOTHING = Amounts()
 
 
-class QuotaBook:
+class QuotaTracker:
     """Tell whose work is within its team's quota and whose borrows.
 
     A shard enforces its share of each quota, as jobs are spread evenly over the
@@ -18,12 +18,12 @@
 
     Examples
     --------
-    >>> book = QuotaBook()
-    >>> book.use("digest-1", {"accounts": {"processors": 4000}}, shards=2)
-    >>> book.start("accounts", Amounts(1000), 1)
-    >>> book.borrows("accounts", Amounts(1000), 1)
+    >>> tracker = QuotaTracker()
+    >>> tracker.set_quotas("digest-1", {"accounts": {"processors": 4000}}, shards=2)
+    >>> tracker.add_usage("accounts", Amounts(1000), 1)
+    >>> tracker.would_borrow("accounts", Amounts(1000), 1)
     False
-    >>> book.borrows("accounts", Amounts(1000), 2)
+    >>> tracker.would_borrow("accounts", Amounts(1000), 2)
     True
     """
 
@@ -39,7 +39,7 @@
         """Return whether the bundle names any team."""
         return bool(self._quotas)
 
-    def use(self, digest, teams, shards):
+    def set_quotas(self, digest, teams, shards):
         """Take the quotas of a bundle.
 
         Parameters
@@ -56,11 +56,11 @@
         self._digest = digest
         self._quotas = {name: _share(found, shards) for name, found in teams.items()}
 
-    def start(self, team, demand, members):
+    def add_usage(self, team, demand, members):
         """Count a job that holds room."""
         self._add(team, demand, members)
 
-    def finish(self, team, demand, members):
+    def remove_usage(self, team, demand, members):
         """Count a job no longer."""
         self._add(team, demand, -members)
 
@@ -68,7 +68,7 @@
         """Return what a team's jobs hold."""
         return self._used.get(team, _NOTHING)
 
-    def borrows(self, team, demand, members):
+    def would_borrow(self, team, demand, members):
         """Return whether so many members more would be over the quota."""
         quota = self._quotas.get(team)
         if quota is None:
@@ -80,7 +80,7 @@
             or used.accelerators + demand.accelerators * members > quota[2]
         )
 
-    def is_over(self, team, returned=_NOTHING):
+    def is_over_quota(self, team, returned=_NOTHING):
         """Return whether a team holds more than its quota.
 
         Parameters
@@ -89,7 +89,7 @@
         returned : Amounts
             What it gives back already.
         """
-        return self.borrows(team, _NOTHING - returned, 1)
+        return self.would_borrow(team, _NOTHING - returned, 1)
 
     def ratio(self, team, planned=0):
         """Return what a team uses of its quota, by its most used amount.
--- a/tests/quotas/test_shares.py
+++ b/tests/quotas/test_shares.py
@@ -4,7 +4,7 @@
 
 from papayapick.ledger import Amounts, HostLedger
 from papayapick.placement import JobQueue, WaitingJob
-from papayapick.quotas import QuotaBook
+from papayapick.quotas import QuotaTracker
 
 CORE = Amounts(1000, 1024)
 
@@ -13,10 +13,10 @@
     ledger = HostLedger()
     ledger.add("worker-0", Amounts(cores * 1000, cores * 1024))
     ledger.open("worker-0")
-    book = QuotaBook()
+    tracker = QuotaTracker()
     teams = {team: {"processors": quota * 1000} for team, quota in quotas.items()}
-    book.use("digest", teams, 1)
-    return JobQueue(ledger, quotas=book)
+    tracker.set_quotas("digest", teams, 1)
+    return JobQueue(ledger, quotas=tracker)
 
 
 def add(queue, team, count, arrival=0.0, **more):
@@ -102,16 +102,16 @@
     ],
 )
 def test_each_amount_has_its_quota(amounts, used, expected):
-    book = QuotaBook()
-    book.use("digest", {"team": amounts}, 1)
-    book.start("team", used, 1)
-    assert book.is_over("team") is expected
+    tracker = QuotaTracker()
+    tracker.set_quotas("digest", {"team": amounts}, 1)
+    tracker.add_usage("team", used, 1)
+    assert tracker.is_over_quota("team") is expected
 
 
 def test_a_new_bundle_changes_the_quotas_and_keeps_what_is_used():
-    book = QuotaBook()
-    book.use("old", {"team": {"processors": 1000}}, 1)
-    book.start("team", Amounts(1000), 2)
-    assert book.is_over("team")
-    book.use("new", {"team": {"processors": 4000}}, 2)
-    assert not book.is_over("team")
+    tracker = QuotaTracker()
+    tracker.set_quotas("old", {"team": {"processors": 1000}}, 1)
+    tracker.add_usage("team", Amounts(1000), 2)
+    assert tracker.is_over_quota("team")
+    tracker.set_quotas("new", {"team": {"processors": 4000}}, 2)
+    assert not tracker.is_over_quota("team")
