--- a/benchmarks/estimates.py
+++ b/benchmarks/estimates.py
@@ -12,7 +12,7 @@
 import numpy
 
 from benchmarks.tables import print_rows
-from papayapick.estimates import ObservedQuantile, TrustDeclared
+from papayapick.estimates import DeclaredEstimate, ObservedQuantile
 from papayapick.ledger import Amounts, HostLedger
 from papayapick.placement import BestFit
 
@@ -115,12 +115,12 @@
         elif what == 1:
             self.ledger.grow(number, used)
         else:
-            self.policy.note(kind, used)
+            self.policy.observe(kind, used)
 
 
 def main():
     policies = {
-        "declared": lambda ledger: TrustDeclared(),
+        "declared": lambda ledger: DeclaredEstimate(),
         "observed 0.50": lambda ledger: ObservedQuantile(ledger, 0.5),
         "observed 0.90": lambda ledger: ObservedQuantile(ledger, 0.9),
         "observed 0.95": ObservedQuantile,
--- a/papayapick/estimates/__init__.py
+++ b/papayapick/estimates/__init__.py
@@ -1,9 +1,9 @@
 """Correct declared sizes by what tasks were seen to use."""
 
 from papayapick.estimates.policies import (
+    DeclaredEstimate,
     EstimatePolicy,
     ObservedQuantile,
-    TrustDeclared,
 )
 
-__all__ = ["EstimatePolicy", "ObservedQuantile", "TrustDeclared"]
+__all__ = ["DeclaredEstimate", "EstimatePolicy", "ObservedQuantile"]
--- a/papayapick/estimates/policies.py
+++ b/papayapick/estimates/policies.py
@@ -7,7 +7,7 @@
 
 from papayapick.ledger import Amounts
 
-__all__ = ["EstimatePolicy", "ObservedQuantile", "TrustDeclared"]
+__all__ = ["DeclaredEstimate", "EstimatePolicy", "ObservedQuantile"]
 
 _LEAST = 20
 _KEPT = 200
@@ -20,19 +20,19 @@
 class EstimatePolicy(Protocol):
     """Estimate what a task uses."""
 
-    def note(self, kind, used):
+    def observe(self, kind, used):
         """Learn the most that a task of a kind was reported to use."""
 
     def estimate(self, kind, declared):
         """Return the Amounts to reserve for a task of a kind."""
 
 
-class TrustDeclared:
+class DeclaredEstimate:
     """Reserve what is declared: the baseline."""
 
     __slots__ = ()
 
-    def note(self, kind, used):
+    def observe(self, kind, used):
         """Learn nothing."""
 
     def estimate(self, kind, declared):
@@ -71,7 +71,7 @@
     >>> ledger.add("worker-1", Amounts(16000, 65536))
     >>> policy = ObservedQuantile(ledger)
     >>> for _ in range(20):
-    ...     policy.note("comparison", Amounts(1000, 2000))
+    ...     policy.observe("comparison", Amounts(1000, 2000))
     >>> policy.estimate("comparison", Amounts(8000, 32768))
     Amounts(1100 millicores, 2200 MiB, 0 accelerators)
     """
@@ -84,7 +84,7 @@
         self._kinds = {}
         self._lock = threading.Lock()
 
-    def note(self, kind, used):
+    def observe(self, kind, used):
         """Learn the most that a task of a kind was reported to use."""
         with self._lock:
             found = self._kinds.setdefault(kind, _Kind())
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -223,7 +223,7 @@
                 shard.failures.note_success(place.host)
                 if report.usage:
                     used = Amounts.from_mapping(report.usage)
-                    shard.estimates.note(item.accepted.name, used)
+                    shard.estimates.observe(item.accepted.name, used)
             shard.jobs.finish(item.request_id)
             self._members.forget(running)
             results = {report.task: report.result for report in reported}
--- a/tests/estimates/test_policies.py
+++ b/tests/estimates/test_policies.py
@@ -20,14 +20,14 @@
 def seen(ledger, *used):
     policy = ObservedQuantile(ledger)
     for one in used:
-        policy.note("kind", one)
+        policy.observe("kind", one)
     return policy
 
 
 def test_what_is_declared_stands_until_enough_was_seen():
     policy = seen(ledger_of(Amounts(16000, 65536)), *[Amounts(500, 500)] * 19)
     assert policy.estimate("kind", DECLARED) == DECLARED
-    policy.note("kind", Amounts(500, 500))
+    policy.observe("kind", Amounts(500, 500))
     assert policy.estimate("kind", DECLARED) == Amounts(550, 550)
     assert policy.estimate("other", DECLARED) == DECLARED
 
