--- a/papayapick/jobs/__init__.py
+++ b/papayapick/jobs/__init__.py
@@ -1,6 +1,6 @@
-"""Jobs of steps: their documents, their state, and what each end means.
+"""Jobs of steps: their documents, their state and the effects of each run's outcome.
 
-Runs without daemons and without a platform: its caller places the tasks.
+This package needs neither daemons nor a platform: its caller places the tasks.
 """
 
 from papayapick.jobs.documents import JobDocument, Step, StepKey, TaskKey
--- a/papayapick/jobs/documents.py
+++ b/papayapick/jobs/documents.py
@@ -1,4 +1,4 @@
-"""Describe jobs of steps as their callers hand them in."""
+"""Describe jobs of steps as callers submit them."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class TaskKey(NamedTuple):
-    """Name one task: job, occurrence, step and its number in the step."""
+    """Identify one task by job, occurrence, step and index within the step."""
 
     job: str
     occurrence: int
@@ -22,7 +22,7 @@
 
 
 class StepKey(NamedTuple):
-    """Name one step of one occurrence of a job."""
+    """Identify one step of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -33,36 +33,44 @@
 
 
 class Step:
-    """Describe the tasks of one step, which are alike.
+    """Describe one step and the tasks of it, which are identical.
 
     Parameters
     ----------
     tasks : int
     demand : Amounts
-        Of each task.
+        Resources that each task needs.
     estimate_seconds : float
-        Of a task's run; callers are off by up to nine tenths.
+        The caller's estimate of the duration of one run. It may be wrong by up to 90
+        percent.
     after : list of int
-        Earlier steps that must be done first.
+        Numbers of the earlier steps that must be done before this one starts.
     is_gang : bool
-        All tasks start together and end together.
+        Whether all tasks start and end together.
     is_rack_bound : bool
-        A gang that works slowly when it is spread over racks.
+        Whether the gang runs slowly when it is spread over several racks.
     label : str
-        A worker must have it; empty for any worker.
+        Label that a worker must have; empty for any worker.
     preferred_rack : str
-        Tasks are slow on workers of other racks; empty for no data.
+        Rack that holds the input data: tasks run slowly on workers of other racks.
+        Empty if there is no such data.
     tasks_per_worker : int
-        At most so many on one worker; 0 for no limit.
-    has_checkpoints, allows_copies, is_lasting : bool
+        Most tasks of the step on one worker; 0 for no limit.
+    has_checkpoints : bool
+        Whether tasks save checkpoints from which a later run resumes.
+    allows_copies : bool
+        Whether a task may run on two workers at the same time.
+    is_lasting : bool
+        Whether the tasks run until the job is cancelled.
     image : str
-        Tasks of one image behave alike.
+        Tasks of the same image are expected to behave alike.
     tail_limit_seconds : float
-        Response time that a task must keep for its own users; 0 for none.
+        Tail latency that a task must keep for its own users; 0 for no limit.
     is_filler : bool
-        Its processors are not counted; it gets what others leave unused.
+        Whether the tasks only use processors that other tasks leave unused. Their
+        processors are then not counted against the worker's capacity.
     unavailable_limit : int
-        So many tasks may be away at the same time by the system's own actions.
+        Most tasks that the system itself may make unavailable at the same time.
     """
 
     __slots__ = (
@@ -122,7 +130,7 @@
 
     @property
     def room_demand(self):
-        """Return what a task counts against the capacity of its worker."""
+        """Return the amounts that a task reserves on its worker."""
         if not self.is_filler:
             return self.demand
         return Amounts(0, self.demand.memory, self.demand.accelerators)
@@ -138,7 +146,7 @@
 
     @classmethod
     def from_record(cls, record):
-        """Read what ``as_record`` returned.
+        """Build a step from a record that ``as_record`` returned.
 
         Examples
         --------
@@ -152,22 +160,26 @@
 
 
 class JobDocument:
-    """Hold one accepted job; it never changes.
+    """Hold one accepted job; documents are immutable.
 
     Parameters
     ----------
     identifier, queue, pool, payload : str
-        The payload is handed to each of its tasks as it is.
+        The payload is passed unchanged to each task.
     steps : list of Step
     accepted_at : float
         Unix seconds.
     occurrences : int
-        The steps run so many times at their due times; 0 for once, at once.
-    first_due, interval_seconds : float
-        Occurrence k is due at the first (Unix seconds) plus k times the second.
+        How many times the steps run, each at its due time; 0 to run them once, as
+        soon as possible.
+    first_due : float
+        Unix seconds at which occurrence 0 is due.
+    interval_seconds : float
+        Time between the due times of two occurrences.
     policy : dict, optional
-        What it was accepted under, as ``Queue.policy_record`` returns it: hosts that
-        start after the queue was removed have no other word of it.
+        Policy under which the job was accepted, as returned by
+        ``Queue.policy_record``. A host that starts after the queue was removed from
+        the configuration has no other source for it.
     """
 
     __slots__ = (
@@ -218,7 +230,7 @@
         return any(step.is_lasting for step in self.steps)
 
     def due_at(self, occurrence):
-        """Return when an occurrence may start, in Unix seconds."""
+        """Return the time at which an occurrence may start, in Unix seconds."""
         if not self.is_timed:
             return 0.0
         return self.first_due + occurrence * self.interval_seconds
@@ -231,14 +243,14 @@
 
     @classmethod
     def from_record(cls, record):
-        """Read what ``as_record`` returned."""
+        """Build a document from a record that ``as_record`` returned."""
         fields = dict(record)
         fields["steps"] = [Step.from_record(step) for step in fields["steps"]]
         return cls(**fields)
 
 
 def remaining_critical_paths(steps):
-    """Return, for each step, the estimated seconds from its start to the job's end.
+    """Return the estimated seconds from the start of each step to the job's end.
 
     Parameters
     ----------
--- a/papayapick/jobs/held_tasks.py
+++ b/papayapick/jobs/held_tasks.py
@@ -1,10 +1,13 @@
-"""Hold the tasks that are kept back after a takeover: they may run unseen."""
+"""Hold back tasks after a takeover that may have a run unknown to the new owner."""
 
 __all__ = ["HeldTasks"]
 
 
 class HeldTasks:
-    """Keep back tasks that an earlier owner may have started.
+    """Track the tasks that an earlier owner may have started.
+
+    A held task is not queued for a worker, since it would run twice if its earlier run
+    is still active.
 
     Parameters
     ----------
@@ -17,10 +20,9 @@
     def __init__(self, registry, outcomes):
         self._registry = registry
         self._outcomes = outcomes
-        # As (step, index).
+        # Held tasks as (step, index).
         self._tasks = set()
-        # What is kept back of steps that become ready, and of which jobs; None when
-        # nothing is.
+        # Condition for holding tasks of these jobs; None while none are added.
         self._must_hold = None
         self._jobs = frozenset()
 
@@ -28,14 +30,14 @@
         return bool(self._tasks)
 
     def activate(self, must_hold, jobs):
-        """Keep back from now on.
+        """Hold waiting tasks, and tasks of steps that become ready later.
 
         Parameters
         ----------
         must_hold : callable
-            Takes a TaskState; returns whether its task is kept back.
+            Takes a TaskState and returns whether the task must be held.
         jobs : iterable of str
-            Those that were there under the earlier owner.
+            Identifiers of the jobs that existed under the earlier owner.
         """
         self._must_hold = must_hold
         self._jobs = set(jobs)
@@ -47,14 +49,14 @@
                 self._registry.dequeue_step(step)
 
     def deactivate(self):
-        """Keep back no more; what is kept back stays so until it is let go."""
+        """Hold no further tasks; those that are held stay so until released."""
         self._must_hold = None
 
     def hold_if_required(self, step, index):
-        """Keep a task back where it must be; return whether it is kept back."""
+        """Hold a task if the condition requires it; return whether it is held."""
         if (step, index) in self._tasks:
-            # An old end, of a run before the one for which it is kept back, must
-            # not free it: the later run may be at work unseen.
+            # The outcome of a run earlier than the one for which the task is held must
+            # not release it: the later run may still be active.
             return True
         if self._must_hold is None or step.key.job not in self._jobs:
             return False
@@ -64,23 +66,24 @@
         return True
 
     def release_tasks(self, may_release, now):
-        """Let tasks wait for a worker that need not be kept back any more.
+        """Release the tasks that need not be held any more.
 
         Parameters
         ----------
         may_release : callable
-            Takes a TaskState.
+            Takes a TaskState and returns whether the task may be released.
         now : float
+            Monotonic seconds.
         """
-        clear = [
+        released = [
             (step, index)
             for step, index in self._tasks
             if may_release(step.tasks[index])
         ]
-        self._tasks.difference_update(clear)
-        for step, index in clear:
+        self._tasks.difference_update(released)
+        for step, index in released:
             self._release(step, index)
-        for step in {step for step, _ in clear}:
+        for step in {step for step, _ in released}:
             if not any(held is step for held, _ in self._tasks):
                 self._outcomes.stop_partial_gang(step, now)
 
--- a/papayapick/jobs/outcomes.py
+++ b/papayapick/jobs/outcomes.py
@@ -1,4 +1,4 @@
-"""Decide what the end of a run means for its task, step, gang and job."""
+"""Apply the outcome of a run to its task, step, gang and job."""
 
 from papayapick.jobs.state import JobStatus
 
@@ -9,12 +9,12 @@
 
 
 class OutcomeHandler:
-    """Take in ends and starts that did not come about.
+    """Update the job registry after a run has ended or has failed to start.
 
     Parameters
     ----------
     registry : JobRegistry
-        Its caller holds the lock.
+        The caller of each method holds the pool's lock.
     """
 
     __slots__ = ("_registry",)
@@ -23,40 +23,43 @@
         self._registry = registry
 
     def drop(self, run, now):
-        """Take back a run that did not start and can't start any more."""
+        """Remove a run that did not start and can no longer start."""
         self._registry.remove_run(run)
         step = self._registry.step(run.key)
         if step is None or step.job.is_final:
             return
         task = step.tasks[run.key.index]
         if task.is_done:
-            # Its first run, or another member of its gang, ended as done while this
-            # order was on its way: placed again, it would run a second time.
+            # The first copy, or another member of the gang, ended as done before this
+            # order was carried out. Queued again, the task would run twice.
             return
         if step.step.is_gang:
             self._break_gang(step, now)
         elif not task.runs:
-            # With a copy dropped, the first run may be at work.
+            # If only a second copy is dropped, the first run is still active.
             self._registry.requeue_task(step, run.key.index)
 
     def end(self, key, attempt, outcome, checkpoint, worker, now):
-        """Take note of the end of a run.
+        """Handle the outcome of a run, which may be reported more than once.
 
         Parameters
         ----------
         key : TaskKey
         attempt : int
+            Number of the start that led to the run.
         outcome : str
             One of ``EndOutcome``.
         checkpoint : str
+            Last checkpoint of the run; empty for none.
         worker : str
         now : float
+            Monotonic seconds.
         """
         step = self._registry.step(key)
         if step is None:
             return
         task = step.tasks[key.index]
-        # A start may be known from its end only: its number is not used again.
+        # The start may be known from this outcome only: its number must not be reused.
         task.attempt = max(task.attempt, attempt)
         ended = [run for run in task.runs if run.name == (key, attempt)]
         for run in ended:
@@ -68,8 +71,9 @@
             task.checkpoint = checkpoint
         if outcome == _DONE and not step.step.is_lasting:
             for run in ended:
-                # One that was taken over, or went on from saved progress, took longer
-                # than this owner saw: sound runs beside it would seem slow.
+                # A run that was adopted, or resumed from a checkpoint, took longer than
+                # this owner has observed. Its short duration would make normal runs of
+                # the step look slow.
                 if not run.is_resumed:
                     step.note_done_run(run.worked_seconds(now))
             self._note_done(step, key.index, attempt, now)
@@ -86,21 +90,23 @@
 
     @staticmethod
     def _is_of_earlier_run(step, attempt):
-        """Return whether a gang is at work that was started after a run of it.
+        """Return whether all active members of a gang were started after an attempt.
 
-        An end may come long after its run was given up, as its worker is back, and a
-        list that was overtaken shows a run once more. It says nothing of the members at
-        work, which would all be stopped, and lose what they have done.
+        An outcome may arrive long after its run was given up, when its worker becomes
+        reachable again, or in an outdated list of a worker. Such an outcome does not
+        concern the active members. If it broke the gang, all of them would be stopped
+        and their work would be lost.
         """
         active = step.active_runs()
         return bool(active) and all(run.attempt > attempt for run in active)
 
     def stop_partial_gang(self, step, now):
-        """Stop a gang that is at work without all of its members.
+        """Stop the active members of a gang that is not running completely.
 
-        The owner before may have died between the orders of one gang, or an order was
-        carried out late. Its members would wait for the others until their time is
-        over, and hold room, and the gang is not started without them.
+        This happens if the previous owner failed between the orders for the members, or
+        if an order was carried out late. The active members would hold their room and
+        wait for the others until they time out, and the gang could not be started
+        meanwhile.
         """
         if not step.step.is_gang or step.job.is_final:
             return
@@ -118,8 +124,9 @@
             task.is_done = True
             step.unfinished_tasks -= 1
             step.waiting.discard(number)
-            # The members of a gang end together. Copies must be told to, and so must
-            # a gang that was started again before this end came.
+            # The members of a gang end by themselves with the first that is done.
+            # Copies of a task must be stopped, and so must the members of a later start
+            # of the gang.
             self._registry.to_stop += [
                 run
                 for run in task.runs
@@ -138,7 +145,7 @@
             if len(job.finished_occurrences) >= max(1, job.document.occurrences):
                 self._registry.finish(job, JobStatus.COMPLETED, now)
             elif job.document.is_timed:
-                # Steps of an occurrence that is over are not asked for again.
+                # The state of a finished occurrence is not needed any more.
                 job.occurrences.pop(occurrence)
             return
         self._registry.enqueue_ready_steps(job, occurrence, now)
@@ -161,8 +168,8 @@
         if active:
             return
         step.is_gang_broken = False
-        # Progress saved by any member is valid for all, and all must carry the
-        # same.
+        # A checkpoint saved by any member is valid for the whole gang, and all members
+        # must resume from the same one.
         checkpoint = max((task.checkpoint for task in step.tasks), default="")
         attempt = max(task.attempt for task in step.tasks)
         for index, task in enumerate(step.tasks):
--- a/papayapick/jobs/queues.py
+++ b/papayapick/jobs/queues.py
@@ -1,8 +1,8 @@
-"""Describe queues and the policies that their jobs follow."""
+"""Describe queues and the policies of their jobs."""
 
 __all__ = ["AdvicePolicy", "CellConfiguration", "Queue"]
 
-_LEAST_POLICY = {
+_DEFAULT_POLICY = {
     "priority": 9,
     "failure_limit": 1,
     "stretch": 1.0,
@@ -10,18 +10,20 @@
     "workers_check_room": False,
     "advice": None,
 }
-_POLICY_FIELDS = tuple(_LEAST_POLICY)
+_POLICY_FIELDS = tuple(_DEFAULT_POLICY)
 
 
 class AdvicePolicy:
-    """Tell how long advice on a step takes and holds, in seconds.
+    """Describe how long calls for advice on a step take and how long it is valid.
 
     Parameters
     ----------
-    fixed_seconds, worker_seconds : float
-        A call takes the first, and the second for each worker named.
+    fixed_seconds : float
+        Duration of a call without any worker.
+    worker_seconds : float
+        Additional duration for each worker in the call.
     valid_seconds : float
-        So long a ticket may be used.
+        Time for which a ticket may be used.
     """
 
     __slots__ = ("fixed_seconds", "valid_seconds", "worker_seconds")
@@ -36,7 +38,7 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
     def expected_seconds(self, workers):
-        """Return what a call about so many workers takes.
+        """Return the expected duration of a call about a number of workers.
 
         Examples
         --------
@@ -51,22 +53,24 @@
 
     Parameters
     ----------
-    name, host, path_prefix : str
-        The last two select the queue of a caller's request.
+    name : str
+    host, path_prefix : str
+        A request with this host name and path prefix belongs to the queue.
     pool : str
-        Pool of workers that runs its tasks.
+        Pool of workers that runs the queue's tasks.
     priority : int
-        0 comes first.
+        0 is the most urgent.
     failure_limit : int
-        A task that failed so often fails its job.
+        Number of failures of one task after which its job fails.
     stretch, objective_seconds : float
-        A job should be completed within its longest chain of work times the
-        first, plus the second.
+        A job should be completed within the length of its critical path times the
+        stretch, plus the objective.
     timeout_seconds : float
+        Time limit of a caller's request.
     workers_check_room : bool
-        Whether workers of the pool refuse what does not fit.
+        Whether workers of the pool refuse tasks that do not fit.
     advice : AdvicePolicy or None
-        None where any worker of the pool may run a step.
+        None if any worker of the pool may run any step.
     """
 
     __slots__ = (
@@ -110,23 +114,24 @@
         self.advice = advice
 
     def policy_record(self):
-        """Return what its jobs follow, as a mapping for the store."""
+        """Return the policy of the queue's jobs as a mapping for the store."""
         record = {name: getattr(self, name) for name in _POLICY_FIELDS}
         record["advice"] = self.advice and self.advice.as_record()
         return record
 
     @classmethod
     def from_policy(cls, name, pool, record):
-        """Make a queue that takes no requests of what ``policy_record`` returned.
+        """Build a queue that accepts no requests from a policy record.
 
         Parameters
         ----------
         name, pool : str
         record : dict
-            Fields that are missing stand at their least: such jobs come last, and fail
-            with the first run that does.
+            As returned by ``policy_record``. Missing fields get the least favourable
+            values: such jobs have the lowest priority and fail with their first
+            failed run.
         """
-        fields = {**_LEAST_POLICY, **record}
+        fields = {**_DEFAULT_POLICY, **record}
         advice = fields.pop("advice")
         return cls(
             name=name,
@@ -155,14 +160,15 @@
         self.version = version
         self.queues = {queue.name: queue for queue in queues}
         self.body_limit_bytes = body_limit_bytes
-        # Longest prefix first, so that the first that matches is the queue.
+        # Sorted by descending length of the prefix, so that the first match is the
+        # most specific one.
         self._by_host = {}
         for queue in sorted(queues, key=lambda one: -len(one.path_prefix)):
             self._by_host.setdefault(queue.host, []).append(queue)
 
     @property
     def pools(self):
-        """Return the names of the pools that queues use."""
+        """Return the names of the pools that the queues use."""
         return {queue.pool for queue in self.queues.values()}
 
     def find(self, host, path):
@@ -171,7 +177,7 @@
         Parameters
         ----------
         host : str
-            As sent, with or without a port.
+            Host name as sent by the caller, with or without a port.
         path : str
         """
         name = host.partition(":")[0].lower()
--- a/papayapick/jobs/records.py
+++ b/papayapick/jobs/records.py
@@ -1,10 +1,10 @@
-"""Turn the progress of a job into a record for the store and back."""
+"""Convert the progress of a job to a record for the store and back."""
 
 __all__ = ["progress_record", "restore_progress"]
 
 
 def progress_record(job):
-    """Return what a successor must know of a job beside its document.
+    """Return the progress that the next owner needs in addition to the document.
 
     Parameters
     ----------
@@ -13,7 +13,7 @@
     Returns
     -------
     dict
-        JSON values; tasks without news are left out.
+        JSON values. Fields of tasks that have their initial value are omitted.
     """
     record = {"status": job.status}
     if job.is_final:
@@ -33,8 +33,9 @@
     Parameters
     ----------
     job : JobState
-        Fresh from its document.
+        New state, without progress of its own.
     record : dict
+        As returned by ``progress_record``.
     """
     job.status = job.durable_status = record["status"]
     if job.is_final:
--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -1,4 +1,4 @@
-"""Keep the jobs of a pool: which steps are ready, and what each end means."""
+"""Registry of the jobs of a pool, with the tasks that wait for a worker."""
 
 from papayapick.jobs.documents import TaskKey
 from papayapick.jobs.held_tasks import HeldTasks
@@ -12,16 +12,19 @@
 
 
 class JobRegistry:
-    """Hold all jobs of one pool; its caller holds the lock.
+    """Hold all jobs of one pool.
+
+    The registry has no lock of its own: the caller holds the pool's lock during each
+    call.
 
     Attributes
     ----------
     changed : set of str
-        Jobs whose progress is to be journaled.
+        Identifiers of jobs whose progress must be journaled.
     status_changes : set of str
-        Jobs whose status has changed since it was last told.
+        Identifiers of jobs whose status has changed since it was last published.
     to_stop : list of Run
-        Runs that nothing needs any more, for the caller to stop.
+        Runs that are no longer needed. The caller stops them and clears the list.
     """
 
     __slots__ = (
@@ -38,10 +41,11 @@
 
     def __init__(self):
         self._jobs = {}
-        # Those that are not over: most jobs are, and are kept for two minutes only to
-        # answer callers. What is done ten times a second looks at the others only.
+        # Jobs without a final status. Most jobs have one: they are retained for two
+        # minutes to answer queries of callers. The decision round, which runs ten
+        # times a second, iterates over the live jobs only.
         self._live = {}
-        # Steps that are ready and have a task waiting, by key.
+        # Ready steps with at least one waiting task, by StepKey.
         self._queued_steps = {}
         self._outcomes = OutcomeHandler(self)
         self._held = HeldTasks(self, self._outcomes)
@@ -54,7 +58,7 @@
         return identifier in self._jobs
 
     def get(self, identifier):
-        """Return the job of an id, or None."""
+        """Return the job with an identifier, or None."""
         return self._jobs.get(identifier)
 
     def jobs(self):
@@ -62,15 +66,15 @@
         return list(self._jobs.values())
 
     def live_jobs(self):
-        """Return the jobs that are not over, as a list."""
+        """Return the jobs without a final status, as a list."""
         return list(self._live.values())
 
     def waiting_steps(self):
-        """Return the ready steps that have a task to start, as a list."""
+        """Return the ready steps with a task that waits for a worker, as a list."""
         return list(self._queued_steps.values())
 
     def add(self, document, queue, now, record=None, age=0.0):
-        """Add a job that was accepted.
+        """Add an accepted job; return the existing state if it was added before.
 
         Parameters
         ----------
@@ -79,9 +83,10 @@
         now : float
             Monotonic seconds.
         record : dict, optional
-            Its progress under an earlier owner.
+            Progress that an earlier owner of the pool has stored, as returned by
+            ``progress_record``.
         age : float, optional
-            Seconds since it was accepted.
+            Seconds since the job was accepted.
 
         Returns
         -------
@@ -108,18 +113,18 @@
         return job
 
     def open_due(self, wall_now, now):
-        """Open the occurrences whose time has come; see ``Schedule.open_due``."""
+        """Open the occurrences that are due; see ``Schedule.open_due``."""
         return self._schedule.open_due(
             wall_now, lambda job, number: self.enqueue_ready_steps(job, number, now)
         )
 
     def cancel(self, identifier, now):
-        """Cancel a job; what runs of it is added to ``to_stop``.
+        """Cancel a job; its active runs are added to ``to_stop``.
 
         Returns
         -------
         bool
-            False where no such job is known.
+            False if the job is unknown.
         """
         job = self._jobs.get(identifier)
         if job is None:
@@ -129,12 +134,12 @@
         return True
 
     def remove(self, identifier):
-        """Drop a job that is over."""
+        """Remove a job that has a final status."""
         self._jobs.pop(identifier, None)
         self._live.pop(identifier, None)
 
     def begin(self, step, index, worker, now, attempt=None):
-        """Note that a task is about to be ordered on a worker.
+        """Add a run of a task whose start is about to be ordered on a worker.
 
         Parameters
         ----------
@@ -143,7 +148,8 @@
         worker : str
         now : float
         attempt : int, optional
-            Shared by the members of a gang.
+            Number of the start, shared by the members of a gang; by default the
+            number after the task's last.
 
         Returns
         -------
@@ -151,15 +157,15 @@
         """
         task = step.tasks[index]
         task.attempt = (task.attempt + 1) if attempt is None else attempt
-        # With a copy beside it, the first one's place stays on record: a successor
-        # may start a task that allows copies in any case.
+        # A second copy overwrites the place of the first run in the record. This is
+        # safe, since a successor may start another run of a task that allows copies.
         task.place = worker
         task.stuck_since = None
         run = Run.of_task(step, index, task.attempt, worker, RunPhase.ORDERED, now)
         run.is_resumed = bool(task.checkpoint)
         task.runs.append(run)
         step.waiting.discard(index)
-        # What was held for it is taken; a later hold has a time of its own.
+        # The run uses the room held for the step; a later hold gets its own time.
         step.held_on.pop(worker, None)
         if not step.waiting:
             self.dequeue_step(step)
@@ -167,7 +173,7 @@
         return run
 
     def adopt(self, report, worker, now):
-        """Take over a run that a worker lists.
+        """Add a run that a worker lists and that this owner did not start.
 
         Parameters
         ----------
@@ -178,7 +184,7 @@
         Returns
         -------
         Run
-            One that nothing needs is added to ``to_stop``.
+            Also added to ``to_stop`` if it is not needed.
         """
         step = self.step(report.key)
         if step is None:
@@ -187,13 +193,13 @@
             return run
         index, attempt = report.key.index, report.attempt
         run = Run.of_task(step, index, attempt, worker, RunPhase.RUNNING, now)
-        # What it had done before this owner saw it is not known, nor how it was paced.
+        # Neither its progress before this owner first saw it nor its pace is known.
         run.is_resumed = True
         run.pace = None
         task = step.tasks[index]
         is_second = bool(task.runs) and not step.step.allows_copies
         task.adopt_run(run)
-        # Its start may have left without a record.
+        # Its start may not have been journaled.
         self.changed.add(step.job.identifier)
         self._note_running(step.job)
         if task.is_done or step.job.is_final or is_second:
@@ -206,7 +212,7 @@
         return run
 
     def note_started(self, run):
-        """Note that a worker runs a task."""
+        """Mark a run as running after its worker has confirmed the start."""
         if run.phase in (RunPhase.ORDERED, RunPhase.UNSURE):
             run.phase = RunPhase.RUNNING
         step = self.step(run.key)
@@ -214,58 +220,59 @@
             self._note_running(step.job)
 
     def note_checkpoint(self, run):
-        """Keep the newest progress that a run has saved."""
+        """Store the latest checkpoint of a run in its task."""
         step = self.step(run.key)
         if step is not None and run.checkpoint:
             step.tasks[run.key.index].checkpoint = run.checkpoint
 
     def hold_tasks(self, must_hold):
-        """Keep back tasks that may run already under an earlier owner.
+        """Hold tasks that an earlier owner may have started already.
 
-        Those of steps that become ready meanwhile too, until ``release_all_tasks``: the
-        end that makes a step ready may be read before the list that shows what
-        runs of it.
+        Until ``release_all_tasks``, this covers steps that become ready later too: the
+        outcome that makes a step ready may be read before the worker's list that shows
+        a run of that step.
 
         Parameters
         ----------
         must_hold : callable
-            Takes a TaskState; returns whether its task is kept back.
+            Takes a TaskState and returns whether the task must not be started yet.
         """
         self._held.activate(must_hold, self._jobs)
 
     def release_tasks(self, may_release, now):
-        """Let tasks wait for a worker that were kept back.
+        """Release held tasks, which then wait for a worker.
 
         Parameters
         ----------
         may_release : callable
-            Takes a TaskState; returns whether its task runs nowhere unseen.
+            Takes a TaskState and returns whether no unknown run of it can exist.
         now : float
+            Monotonic seconds.
         """
         self._held.release_tasks(may_release, now)
 
     def release_all_tasks(self, now):
-        """Keep nothing back any more."""
+        """Release all held tasks and hold no further ones."""
         self._held.deactivate()
         self.release_tasks(lambda task: True, now)
 
     @property
     def has_held_tasks(self):
-        """Return whether any task is kept back."""
+        """Return whether any task is held."""
         return bool(self._held)
 
     def drop(self, run, now):
-        """Take back a run that did not start and can't start any more."""
+        """Remove a run that did not start and can no longer start."""
         self._outcomes.drop(run, now)
 
     def end(self, key, attempt, outcome, checkpoint, worker, now):
-        """Take note of the end of a run; see ``OutcomeHandler.end``."""
+        """Handle the outcome of a run; see ``OutcomeHandler.end``."""
         self._outcomes.end(key, attempt, outcome, checkpoint, worker, now)
 
-    # For the modules beside this one.
+    # The methods below are for the other modules of this package.
 
     def finish(self, job, status, now):
-        """Give a job its final status; what runs of it is to be stopped."""
+        """Set the final status of a job and add its active runs to ``to_stop``."""
         job.status = status
         job.finished_at = now
         self._live.pop(job.identifier, None)
@@ -279,7 +286,7 @@
                 self.to_stop += step.active_runs()
 
     def enqueue_ready_steps(self, job, occurrence, now):
-        """Let the steps wait for workers whose earlier steps are done."""
+        """Queue the tasks of the steps whose earlier steps are done."""
         steps = job.occurrences[occurrence]
         for step in steps:
             if step.is_ready or step.is_done:
@@ -296,18 +303,18 @@
                         self.enqueue_task(step, index)
 
     def requeue_task(self, step, index):
-        """Let a task wait that runs nowhere any more, unless it is kept back."""
+        """Queue a task that has no run any more, unless it is held."""
         if not self._held.hold_if_required(step, index):
             step.tasks[index].refresh_place()
             self.enqueue_task(step, index)
 
     def dequeue_step(self, step):
-        """Take a step off those that wait for workers."""
+        """Remove a step from those that wait for workers."""
         step.held_on.clear()
         self._queued_steps.pop(step.key, None)
 
     def enqueue_task(self, step, index):
-        """Let a task wait for a worker, whatever is kept back."""
+        """Queue a task for a worker without a check whether it is held."""
         step.waiting.add(index)
         self._queued_steps[step.key] = step
 
@@ -317,13 +324,13 @@
             self.status_changes.add(job.identifier)
 
     def remove_run(self, run):
-        """Forget a run that is at work no more."""
+        """Remove a run that has ended or can no longer start."""
         step = self.step(run.key)
         if step is not None:
             step.tasks[run.key.index].remove(run)
 
     def step(self, key):
-        """Return the step of a task, or None where there is none."""
+        """Return the step of a task, or None if there is no such task."""
         job = self._jobs.get(key.job)
         if job is None:
             return None
@@ -334,5 +341,5 @@
         return step if key.index < len(step.tasks) else None
 
     def step_of(self, key):
-        """Return the step of a task or step, or None where it is over."""
+        """Return the step of a TaskKey or StepKey, or None if it is over."""
         return self.step(TaskKey(key.job, key.occurrence, key.step, 0))
--- a/papayapick/jobs/runs.py
+++ b/papayapick/jobs/runs.py
@@ -1,4 +1,4 @@
-"""Hold one start of a task on a worker."""
+"""Runs: single starts of a task on a worker."""
 
 import enum
 
@@ -6,23 +6,23 @@
 
 __all__ = ["Run", "RunPhase"]
 
-_PACE_AT_START = 100
+_INITIAL_PACE_PERCENT = 100
 
 
 class RunPhase(enum.Enum):
-    """Tell how far a run is, as far as its owner knows."""
+    """Phase of a run, as known to the pool's owner."""
 
-    # The order was or is being sent; its room is taken.
+    # The start order is waiting to be sent or was sent. The room is reserved.
     ORDERED = "ordered"
     RUNNING = "running"
-    # A stop was ordered; its room is taken until the end is listed.
+    # A stop was ordered. The room stays reserved until the worker lists the end.
     STOPPING = "stopping"
-    # The order had no answer: it may run now, or start later.
+    # The start order was not answered: the run may be active or may start later.
     UNSURE = "unsure"
 
 
 class Run:
-    """Hold one start of a task.
+    """Hold the state of one run of a task.
 
     Parameters
     ----------
@@ -31,16 +31,18 @@
         Number of the start; all members of a gang share it.
     worker : str
     demand : Amounts
-        What it takes of its worker's room.
+        Amounts that the run reserves on its worker.
     phase : RunPhase
     placed_at : float
-        Monotonic seconds at which its worker was chosen, or at which it was taken over.
+        Monotonic seconds at which the worker was chosen or the run was adopted.
+    step : Step, optional
+        Not given for a run of an unknown job.
 
     Attributes
     ----------
     since : float or None
-        Monotonic seconds at which its order left, or at which it was taken over; None
-        while it waits for its record.
+        Monotonic seconds at which the start order was sent or the run was adopted;
+        None while the order waits until the start is journaled.
     """
 
     __slots__ = (
@@ -79,32 +81,33 @@
         self.checkpoint = ""
         self.percent = 0
         self.percent_at = placed_at
-        # When its percent was last seen to change.
+        # Monotonic seconds at which the percent was last seen to change.
         self.progressed_at = placed_at
-        # It began with saved progress, or was taken over: its percent did not start
-        # from nothing when this owner first saw it.
+        # Whether the run resumed from a checkpoint or was adopted. Its percent was then
+        # not 0 when this owner first saw it.
         self.is_resumed = False
-        # What its worker told of the half second before, or None.
+        # Value that the worker measured over the last half second, or None.
         self.measurement = None
-        # Percent of its processors that it may use, as ordered; None where that is not
-        # known: another owner may have set it, or an order had no answer.
-        self.pace = _PACE_AT_START
-        # An order on its pace had no answer: it may be carried out at any time.
+        # Percent of its processors that the run may use, as ordered. None if unknown:
+        # another owner may have set it, or an order was not answered.
+        self.pace = _INITIAL_PACE_PERCENT
+        # Whether an order to change the pace was not answered. It may still be carried
+        # out at any time.
         self.is_pace_unconfirmed = False
-        # Monotonic seconds of its worker's answer that it runs, or None.
+        # Monotonic seconds at which the worker confirmed the start, or None.
         self.start_confirmed_at = None
-        # A worker has listed it.
+        # Whether a list of the worker has contained the run, and a later list too.
         self.was_listed = False
-        # A later list has shown it too.
         self.was_listed_again = False
-        # Monotonic seconds of the stop's order, or None.
+        # Monotonic seconds at which a stop was ordered, or None.
         self.stop_requested = None
-        # Monotonic seconds of the answer to a stop, or None: since then the run
-        # can't start any more.
+        # Monotonic seconds at which the worker confirmed the stop, or None. From then
+        # on the run can't start any more.
         self.stop_confirmed = None
         self.is_filler = step is not None and step.is_filler
-        # Whether its percent tells how fast its worker is: members of a gang wait for
-        # each other, lasting tasks are at 100, fillers get what others leave.
+        # Whether the percent indicates the speed of the worker. It does not for members
+        # of a gang, which wait for each other, for lasting tasks, which are always at
+        # 100, and for fillers, which only use processors that others leave unused.
         self.shows_worker_speed = step is not None and not (
             step.is_gang or step.is_lasting or step.is_filler
         )
@@ -113,7 +116,7 @@
 
     @classmethod
     def of_task(cls, step, index, attempt, worker, phase, now):
-        """Return a run of one task.
+        """Build a run of one task of a step.
 
         Parameters
         ----------
@@ -122,6 +125,7 @@
         worker : str
         phase : RunPhase
         now : float
+            Monotonic seconds.
         """
         key = TaskKey(*step.key, index)
         demand = step.step.room_demand
@@ -129,29 +133,32 @@
 
     @property
     def has_begun(self):
-        """Return whether its worker is known to have begun it."""
+        """Return whether the worker is known to have started the run."""
         return self.was_listed or self.phase == RunPhase.RUNNING
 
     def ran_before(self, asked_at):
-        """Return whether its worker ran it before a list was asked for.
+        """Return whether the run was known to be active before a list was requested.
 
         Parameters
         ----------
         asked_at : float
-            Monotonic seconds.
+            Monotonic seconds at which the list was requested.
         """
         known_at = self.percent_at if self.was_listed else self.start_confirmed_at
         return known_at is not None and known_at < asked_at
 
     @property
     def name(self):
-        """Return key and attempt, which name the run on its worker."""
+        """Return key and attempt, which identify the run on its worker."""
         return (self.key, self.attempt)
 
     def worked_seconds(self, now):
-        """Return how long it may have been at work: 0 before its order left."""
+        """Return the longest time the run may have been active, in seconds.
+
+        It is 0 before the start order was sent.
+        """
         return 0.0 if self.since is None else now - self.since
 
     def note_sent(self, now):
-        """Note that its order leaves now: before, it could not move."""
+        """Mark the start order as sent; progress is measured from this time on."""
         self.since = self.percent_at = self.progressed_at = now
--- a/papayapick/jobs/schedule.py
+++ b/papayapick/jobs/schedule.py
@@ -4,7 +4,7 @@
 
 
 class Schedule:
-    """Hold the jobs that have occurrences to come."""
+    """Hold the jobs that have future occurrences."""
 
     __slots__ = ("_jobs",)
 
@@ -21,30 +21,30 @@
         self._jobs[job.identifier] = job
 
     def remove(self, job):
-        """Drop a job that is over."""
+        """Remove a job if it is in the schedule."""
         self._jobs.pop(job.identifier, None)
 
     def open_due(self, wall_now, on_open):
-        """Open the occurrences whose time has come.
+        """Open the occurrences that are due.
 
         Parameters
         ----------
         wall_now : float
             Unix seconds.
         on_open : callable
-            Called with the job and the number of an occurrence that was opened.
+            Called with the job and the number of each occurrence that is opened.
 
         Returns
         -------
         float or None
-            Unix seconds of the next occurrence.
+            Unix seconds at which the next occurrence is due; None if there is none.
         """
-        soonest = None
+        next_due = None
         for job in list(self._jobs.values()):
             due = self._open_due_of(job, wall_now, on_open)
-            if due is not None and (soonest is None or due < soonest):
-                soonest = due
-        return soonest
+            if due is not None and (next_due is None or due < next_due):
+                next_due = due
+        return next_due
 
     def _open_due_of(self, job, wall_now, on_open):
         document = job.document
--- a/papayapick/jobs/state.py
+++ b/papayapick/jobs/state.py
@@ -1,11 +1,10 @@
-"""Hold what is known of a job, its steps and tasks while it is not over."""
+"""State of a job, its steps and its tasks."""
 
 from papayapick.jobs.documents import StepKey, remaining_critical_paths
 
 __all__ = ["JobState", "JobStatus", "StepState", "TaskState"]
 
-
-# Tasks that are still at work are compared with so many that are done.
+# Number of the latest done runs of a step with which its active runs are compared.
 _DONE_RUNS = 9
 
 
@@ -22,30 +21,35 @@
 
 
 class TaskState:
-    """Hold one task.
+    """Hold the state of one task.
 
     Attributes
     ----------
     attempt : int
-        Number of its last start; 0 before the first.
+        Number of the last start; 0 before the first.
     failed_attempts : set of int
-        Numbers of the starts that ended as failed. A successor reads ends again that
-        led to a record, and in any order; the members of a gang fail together. Each
-        start counts once.
+        Numbers of the starts whose outcome was a failure. The set counts each start
+        once: after a takeover, outcomes are read again in any order, including those
+        that are part of the stored record, and the members of a gang fail together.
     checkpoint : str
-        Newest progress that was saved; empty for none.
+        Latest saved checkpoint; empty for none.
     runs : list of Run
-        Those whose end is not known yet; several only for copies.
+        Runs without a known outcome; more than one only for copies.
     avoid : set of str
-        Workers that are used for it last: it lagged or was refused there.
+        Workers to use only if no other is free, since the task was slow or refused
+        there.
     failed_on : set of str
-        Workers on which it failed: used only where no other may run it, or last for
-        one that lasts.
+        Workers on which the task failed. They are used only if no other worker may run
+        the task, or, for a lasting task, if no other is free.
     stuck_since : float or None
-        Monotonic seconds since when it finds no room but where it has failed.
+        Monotonic seconds since which only workers in ``failed_on`` have room for the
+        task.
     place : str
-        Worker of its last start; empty while it waits for one. It may run there, also
-        where it is kept back after a takeover, so a successor must know of it.
+        Worker of the last start; empty while the task waits for a worker. The task may
+        run there even while it is held after a takeover, so it is stored for the next
+        owner.
+    replaced : int
+        How many times the task was moved because its run was stalled or slow.
     """
 
     __slots__ = (
@@ -69,21 +73,21 @@
         self.failed_on = set()
         self.is_done = False
         self.place = ""
-        # How often it was moved because it stood still or lagged.
         self.replaced = 0
         self.runs = []
         self.stuck_since = None
 
     @property
     def failures(self):
-        """Return how many of its starts ended as failed."""
+        """Return the number of starts that failed."""
         return len(self.failed_attempts)
 
     def adopt_run(self, run):
-        """Take over a run that a worker lists.
+        """Add a run that a worker lists.
 
-        One beside another, or older than the start on record, is found where an order
-        came late; a successor must look for the one that it came beside.
+        If an order was carried out late, the run may come in addition to another, or be
+        older than the recorded start. The recorded place then stays that of the other
+        run, which the next owner must be able to find.
         """
         if not self.runs and (run.attempt >= self.attempt or not self.place):
             self.place = run.worker
@@ -91,7 +95,7 @@
         self.runs.append(run)
 
     def remove(self, run):
-        """Forget a run that is at work no more."""
+        """Remove a run that has ended or can no longer start."""
         if run not in self.runs:
             return
         self.runs.remove(run)
@@ -99,12 +103,12 @@
             self.place = self.runs[0].worker
 
     def refresh_place(self):
-        """Take note that it runs nowhere but where its runs are known to be."""
+        """Set the place from the known runs; no other run of the task can exist."""
         self.place = self.runs[0].worker if self.runs else ""
 
 
 class StepState:
-    """Hold one step of one occurrence.
+    """Hold the state of one step of one occurrence.
 
     Parameters
     ----------
@@ -139,64 +143,65 @@
         self.waiting = set()
         self.is_ready = False
         self.ready_at = 0.0
-        # When others were last stopped for its sake.
+        # Monotonic seconds at which other runs were last preempted for this step.
         self.preempted_at = float("-inf")
-        # Workers whose room is held for it, with the monotonic seconds from which on.
+        # Workers on which room is held for this step, with the monotonic seconds at
+        # which the hold began.
         self.held_on = {}
-        # What its wait was last logged to be for, and when; None for nothing.
+        # Reason for waiting that was last logged, None for none, and the time of it.
         self.logged_wait = None
         self.logged_wait_at = 0.0
-        # What a run of it took that ended as done: the longest, and the last few.
+        # Durations of the runs that ended as done: the longest, and the latest ones.
         self.usual_seconds = 0.0
         self.done_seconds = []
-        # A member ended before the gang was done: the others must end before
-        # it is started again.
+        # Whether a member ended before the gang was done. All others must end before
+        # the gang is started again.
         self.is_gang_broken = False
 
     @property
     def is_done(self):
-        """Return whether all of its tasks have ended as done."""
+        """Return whether all tasks have ended as done."""
         return self.unfinished_tasks == 0
 
     def note_done_run(self, seconds):
-        """Take in how long a run took that ended as done."""
+        """Record the duration of a run that ended as done."""
         self.usual_seconds = max(self.usual_seconds, seconds)
         self.done_seconds = [*self.done_seconds[1 - _DONE_RUNS :], seconds]
 
     def active_runs(self):
-        """Return the runs whose end is not known."""
+        """Return the runs without a known outcome."""
         return [run for task in self.tasks for run in task.runs]
 
 
 class JobState:
-    """Hold one job.
+    """Hold the state of one job.
 
     Parameters
     ----------
     document : JobDocument
     queue : Queue
     arrived_at : float
-        Monotonic seconds at which its owner learned of it, or at which it was accepted
-        under an earlier owner.
+        Monotonic seconds at which the owner first read the job, or at which it was
+        accepted under an earlier owner.
 
     Attributes
     ----------
     status : str
-        One of ``JobStatus``, as it follows from all that is known.
+        One of ``JobStatus``, derived from all known outcomes.
     durable_status : str
-        What callers may be told: a final status counts once it is stored.
+        Status to report to callers: it becomes final only once that is stored.
     failed_task : TaskKey or None
-        The one whose failures ended the job.
+        Task whose failures made the job fail.
     failed_worker : str
-        Where its last failure was.
+        Worker on which that task last failed.
     occurrences : dict of int to list of StepState
-        Those that are due and not over.
+        Occurrences that are due and not over.
     finished_occurrences : set of int
-        Occurrences that are over.
+        Numbers of the occurrences that are over.
     critical_paths : list of float
         For each step, the estimated seconds from its start to the job's end.
     critical_path_seconds : float
-        The longest of them.
+        The longest of these times.
     """
 
     __slots__ = (
@@ -224,7 +229,7 @@
         self.failed_task = None
         self.failed_worker = ""
         self.finished_at = None
-        # A task of it was placed by this owner.
+        # Whether this owner has placed a task of the job.
         self.has_placed_task = False
         self.occurrences = {}
         self.finished_occurrences = set()
@@ -233,12 +238,12 @@
 
     @property
     def identifier(self):
-        """Return the id that the caller chose."""
+        """Return the identifier that the caller chose."""
         return self.document.identifier
 
     @property
     def is_final(self):
-        """Return whether nothing of the job is to be started any more."""
+        """Return whether no further task of the job is to be started."""
         return self.status in JobStatus.FINAL
 
     def open_occurrence(self, number):
