--- a/papayapick/jobs/queues.py
+++ b/papayapick/jobs/queues.py
@@ -66,7 +66,7 @@
         A job should be completed within the length of its critical path times the
         stretch, plus the objective.
     timeout_seconds : float
-        Time limit of a caller's request.
+        Time limit that the platform configures for the queue's route.
     workers_check_room : bool
         Whether workers of the pool refuse tasks that do not fit.
     advice : AdvicePolicy or None
--- a/papayapick/jobs/state.py
+++ b/papayapick/jobs/state.py
@@ -146,7 +146,7 @@
         # Monotonic seconds at which other runs were last preempted for this step.
         self.preempted_at = float("-inf")
         # Workers on which room is held for this step, with the monotonic seconds at
-        # which the hold began.
+        # which the hold begins.
         self.held_on = {}
         # Reason for waiting that was last logged, None for none, and the time of it.
         self.logged_wait = None
--- a/tests/jobs/test_registry.py
+++ b/tests/jobs/test_registry.py
@@ -1,4 +1,4 @@
-"""What each end means for its job."""
+"""Tests of the job registry: the effects of each outcome on steps and jobs."""
 
 import pytest
 
@@ -53,7 +53,7 @@
     }
 
 
-def test_steps_follow_each_other(registry):
+def test_step_starts_after_the_step_before_it_is_done(registry):
     job = registry.add(_document(_step(2), _step(after=[0])), QUEUE, 0.0)
     first, second = _begin_all(registry)
     _end(registry, first, "done")
@@ -66,7 +66,7 @@
     assert job.durable_status == JobStatus.WAITING
 
 
-def test_failed_task_runs_again_until_its_limit(registry):
+def test_failed_task_is_started_again_up_to_the_failure_limit(registry):
     job = registry.add(_document(_step()), QUEUE, 0.0)
     (run,) = _begin_all(registry)
     _end(registry, run, "failed")
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("outcome", ["stopped", "lapsed", "broken", "alone"])
-def test_only_failures_count_as_attempts(registry, outcome):
+def test_only_failures_count_towards_the_failure_limit(registry, outcome):
     job = registry.add(_document(_step()), QUEUE, 0.0)
     for _ in range(5):
         (run,) = _begin_all(registry)
@@ -87,17 +87,17 @@
     assert job.occurrences[0][0].tasks[0].failures == 0
 
 
-def test_checkpoint_goes_with_the_next_start(registry):
+def test_checkpoint_is_kept_for_the_next_start(registry):
     job = registry.add(_document(_step(has_checkpoints=True)), QUEUE, 0.0)
     (run,) = _begin_all(registry)
     _end(registry, run, "stopped", "cp-7")
     assert job.occurrences[0][0].tasks[0].checkpoint == "cp-7"
 
 
-def test_end_is_taken_once(registry):
-    """A step would seem done while one of its tasks runs.
+def test_repeated_outcome_counts_once(registry):
+    """Guard against a step that counts as done while one of its tasks runs.
 
-    A worker lists an end until it is acknowledged, so it is read several times.
+    A worker lists an outcome until it is acknowledged, so it is read several times.
     """
     job = registry.add(_document(_step(2)), QUEUE, 0.0)
     first, _ = _begin_all(registry)
@@ -106,11 +106,12 @@
     assert job.occurrences[0][0].unfinished_tasks == 1
 
 
-def test_end_as_done_counts_though_the_task_was_started_again(registry):
-    """A task runs a second time although it was done.
+def test_late_done_outcome_counts_after_the_task_was_started_again(registry):
+    """Guard against a second run of a task that is done.
 
-    Its worker was cut off beyond its lease and came back with the end; meanwhile
-    the task was placed again. The end counts, and the second run is stopped.
+    A worker is disconnected for longer than its lease, and its task is placed again.
+    When the worker reconnects and lists the task as done, the outcome must count and
+    the second run must be stopped.
     """
     job = registry.add(_document(_step()), QUEUE, 0.0)
     (first,) = _begin_all(registry, "w1")
@@ -121,7 +122,7 @@
     assert set(registry.to_stop) == {second}
 
 
-def test_cancelled_job_stops_and_starts_nothing(registry):
+def test_cancelled_job_stops_its_runs_and_starts_no_more(registry):
     job = registry.add(_document(_step(2), _step(after=[0])), QUEUE, 0.0)
     step = registry.waiting_steps()[0]
     run = registry.begin(step, 0, "w1", 1.0)
@@ -137,7 +138,7 @@
     assert not registry.cancel(ID, 1.0)
 
 
-def test_lasting_task_starts_again_however_it_ends(registry):
+def test_lasting_task_is_started_again_after_any_outcome(registry):
     job = registry.add(_document(_step(is_lasting=True)), QUEUE, 0.0)
     for outcome in ("failed", "done", "lapsed", "failed", "failed"):
         (run,) = _begin_all(registry)
@@ -149,17 +150,18 @@
 # Gangs.
 
 
-def test_one_end_as_done_stands_for_the_gang(registry):
+def test_gang_is_done_when_one_member_is_done(registry):
     job = registry.add(_document(_step(3, is_gang=True)), QUEUE, 0.0)
     runs = _begin_all(registry, attempt=1)
     _end(registry, runs[1], "done")
     assert job.status == JobStatus.COMPLETED
 
 
-def test_gang_starts_again_when_all_members_have_ended(registry):
-    """Two runs of a gang overlap: some members are in the old, some in the new.
+def test_gang_is_started_again_after_all_members_have_ended(registry):
+    """Guard against two overlapping runs of a gang.
 
-    A member failed and the gang was started again while others still ran.
+    If the gang were started again while members of the failed run are still active,
+    some members would belong to the old run and some to the new one.
     """
     job = registry.add(_document(_step(3, is_gang=True)), QUEUE, 0.0)
     runs = _begin_all(registry, attempt=1)
@@ -175,11 +177,12 @@
     assert {task.attempt for task in tasks} == {1}
 
 
-def test_late_end_as_done_stops_a_gang_that_was_started_again(registry):
-    """A gang that is done is started again, and works on with nobody to need it.
+def test_late_done_outcome_stops_a_gang_that_was_started_again(registry):
+    """Guard against a second run of a gang that is done.
 
-    Its worker was cut off past its lease, so all members were given up and placed
-    again; then the worker was back, with the end of the first run as done.
+    A worker is disconnected for longer than its lease, so all members are given up and
+    placed again. When the worker reconnects and lists the first run as done, the second
+    run must be stopped.
     """
     job = registry.add(_document(_step(2, is_gang=True)), QUEUE, 0.0)
     runs = _begin_all(registry, attempt=1)
@@ -192,11 +195,12 @@
 
 
 @pytest.mark.parametrize("outcome", ["lapsed", "failed", "stopped", "broken", "alone"])
-def test_late_end_leaves_a_gang_alone_that_was_started_again(registry, outcome):
-    """A gang is stopped and started again each time that a worker is back.
+def test_late_outcome_does_not_stop_a_gang_that_was_started_again(registry, outcome):
+    """Guard against restarts of a gang each time that a worker reconnects.
 
-    Its workers were cut off past their leases, so all members were given up and placed
-    again. Each that was back listed the end of the first run, which broke the second.
+    The workers are disconnected for longer than their leases, so all members are given
+    up and placed again. Each worker that reconnects lists an outcome of the first run,
+    which must not break the second run.
     """
     job = registry.add(_document(_step(2, is_gang=True)), QUEUE, 0.0)
     runs = _begin_all(registry, attempt=1)
@@ -211,8 +215,8 @@
     assert failures == (1 if outcome == "failed" else 0)
 
 
-def test_gang_that_is_broken_waits_for_members_of_all_its_runs(registry):
-    """Two runs of a gang overlap: an order that was carried out late joined them."""
+def test_broken_gang_waits_for_the_members_of_all_its_runs(registry):
+    """Guard against two overlapping runs of a gang after a late start of a member."""
     registry.add(_document(_step(2, is_gang=True)), QUEUE, 0.0)
     runs = _begin_all(registry, attempt=1)
     for run in runs:
@@ -227,7 +231,7 @@
     assert _waiting(registry) == {(0, 0, 0), (0, 0, 1)}
 
 
-def test_failures_of_a_gang_count_once_each_run(registry):
+def test_failures_of_a_gang_count_once_for_each_run(registry):
     job = registry.add(_document(_step(2, is_gang=True)), QUEUE, 0.0)
     for attempt in (1, 2):
         runs = _begin_all(registry, attempt=attempt)
@@ -241,7 +245,7 @@
 # Occurrences.
 
 
-def test_occurrences_open_at_their_times(registry):
+def test_occurrences_open_when_they_are_due(registry):
     job = registry.add(
         _document(_step(), occurrences=2, first_due=100.0, interval_seconds=10.0),
         QUEUE,
@@ -270,7 +274,7 @@
     return successor, successor.add(job.document, QUEUE, 0.0, record)
 
 
-def test_successor_knows_what_is_done_and_what_failed(registry):
+def test_successor_restores_done_and_failed_tasks(registry):
     job = registry.add(_document(_step(3), _step(after=[0])), QUEUE, 0.0)
     runs = _begin_all(registry)
     _end(registry, runs[0], "done")
@@ -285,10 +289,11 @@
     assert _waiting(successor) == {(0, 0, 1), (0, 0, 2)}
 
 
-def test_task_that_may_run_elsewhere_is_kept_back(registry):
-    """A task runs in two places after its owner was killed.
+def test_task_that_may_have_a_run_is_held(registry):
+    """Guard against two runs of a task after its owner has failed.
 
-    Its worker did not answer the successor, which placed the task again at once.
+    The worker of the first run does not answer the successor, which must not place the
+    task again before it knows that the run has ended.
     """
     job = registry.add(_document(_step(2)), QUEUE, 0.0)
     registry.begin(registry.waiting_steps()[0], 0, "w1", 1.0)
@@ -319,7 +324,7 @@
 
 
 def test_second_run_of_one_task_is_stopped(registry):
-    """An order carried out seconds late starts a task that runs elsewhere."""
+    """Guard against two runs of a task after a start order was carried out late."""
     registry.add(_document(_step()), QUEUE, 0.0)
     _begin_all(registry)
     late = registry.adopt(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
@@ -331,11 +336,12 @@
     return step.get("places", {})
 
 
-def test_late_run_beside_another_does_not_hide_where_that_one_is(registry):
-    """A task runs twice after a takeover beside a worker that is cut off.
+def test_late_second_run_does_not_change_the_recorded_place(registry):
+    """Guard against two runs of a task after a takeover with a disconnected worker.
 
-    An order that was carried out late had begun it on a second worker. That one stood
-    on record from then on, and the next owner placed the task while the first was cut.
+    A start order is carried out late on a second worker. If the record named this
+    worker, the next owner would place the task again while the first worker is
+    disconnected and still runs it.
     """
     job = registry.add(_document(_step()), QUEUE, 0.0)
     (run,) = _begin_all(registry)
@@ -347,7 +353,7 @@
     assert _places(job) == {}
 
 
-def test_late_run_is_on_record_once_it_is_the_only_one(registry):
+def test_late_run_is_recorded_once_it_is_the_only_one(registry):
     job = registry.add(_document(_step()), QUEUE, 0.0)
     (run,) = _begin_all(registry)
     registry.adopt(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
@@ -355,10 +361,10 @@
     assert _places(job) == {0: "w2"}
 
 
-def test_gang_taken_over_in_part_is_stopped(registry):
-    """Members of a gang hold room until their time is over.
+def test_incomplete_gang_is_stopped_after_a_takeover(registry):
+    """Guard against members of a gang that hold room until they time out.
 
-    Their owner died between the orders; the others were never ordered.
+    Their owner failed between the orders, so the other members were never ordered.
     """
     job = registry.add(_document(_step(2, is_gang=True)), QUEUE, 0.0)
     _begin_all(registry, attempt=1)
@@ -372,11 +378,12 @@
     assert _waiting(successor) == {(0, 0, 0), (0, 0, 1)}
 
 
-def test_member_that_was_started_late_does_not_keep_its_gang_from_starting(registry):
-    """A gang stands still beside free workers until one member has waited in vain.
+def test_member_that_was_started_late_does_not_block_its_gang(registry):
+    """Guard against a gang that is not placed although workers are free.
 
-    The order of that member had no answer and was carried out after its run had been
-    given up, while the whole gang waited to be placed. It was taken for the member.
+    The start order of one member is not answered and is carried out after the run was
+    given up, while the whole gang waits to be placed. If the late run counted as the
+    member, the gang could not be started until that run had timed out.
     """
     registry.add(_document(_step(2, is_gang=True)), QUEUE, 0.0)
     runs = _begin_all(registry, attempt=1)
@@ -395,12 +402,12 @@
     assert again.status == again.durable_status == JobStatus.CANCELLED
 
 
-def test_number_of_a_start_that_was_not_recorded_is_not_used_again(registry):
-    """A task runs more often than it may fail.
+def test_attempt_number_of_an_unrecorded_start_is_not_reused(registry):
+    """Guard against more runs of a failing task than the failure limit allows.
 
-    Its owner died after a start that no record named. The successor learned of the
-    run from the worker's list of ends and gave the next start the same number; the
-    failure of that one was taken for the one already counted.
+    An owner fails after a start that it has not recorded, and the successor reads the
+    outcome from the worker's list. If the next start had the same number, its failure
+    would be taken for the one that is already counted.
     """
     job = registry.add(_document(_step()), QUEUE, 0.0)
     registry.end(TaskKey(ID, 0, 0, 0), 3, "failed", "", "w1", 1.0)
@@ -411,11 +418,11 @@
 
 
 @pytest.mark.parametrize("is_first_done", [True, False])
-def test_copy_that_was_not_started_leaves_the_first_run_alone(registry, is_first_done):
-    # A straggler gets a second copy. The order for it waits behind others until its
-    # ticket is too old, and is dropped. Meanwhile the first run ends as done, or
-    # still works: the task must not be placed again. It ran a second time, over a
-    # second after its end had been acknowledged.
+def test_dropped_copy_does_not_requeue_its_task(registry, is_first_done):
+    # A slow task gets a second copy. The order for the copy waits behind others until
+    # its ticket has expired, and is dropped. Meanwhile the first run ends as done or is
+    # still active. If the task were queued again, it would run a second time, even
+    # after its outcome was acknowledged.
     registry.add(_document(_step(2, allows_copies=True)), QUEUE, 0.0)
     first, _ = _begin_all(registry)
     (step,) = registry.get(ID).steps()
@@ -426,10 +433,10 @@
     assert _waiting(registry) == set()
 
 
-def test_member_that_was_dropped_does_not_start_a_done_gang_again(registry):
-    # The start of one member had no answer and was carried out; the gang ends as
-    # done, which another member lists first. The stop of the unsure member is then
-    # confirmed: it is dropped, and the whole gang, long done, was started again.
+def test_dropped_member_does_not_requeue_a_done_gang(registry):
+    # The start order of one member was not answered but carried out. The gang ends as
+    # done, which the worker of another member lists first. Then the stop of the unsure
+    # member is confirmed, and its run is dropped. This must not start the gang again.
     registry.add(_document(_step(2, is_gang=True), _step(after=[0])), QUEUE, 0.0)
     first, unsure = _begin_all(registry, attempt=1)
     _end(registry, first, "done")
