--- a/papayapick/ledger/__init__.py
+++ b/papayapick/ledger/__init__.py
@@ -1,4 +1,7 @@
-"""Count what hosts and instances hold, in integers, never over."""
+"""Ledgers of the reserved resources of hosts and slots of instances.
+
+All amounts are integers, and no reservation exceeds the free amounts.
+"""
 
 from papayapick.ledger.amounts import Amounts
 from papayapick.ledger.exceptions import (
--- a/papayapick/ledger/accelerator_reserve.py
+++ b/papayapick/ledger/accelerator_reserve.py
@@ -1,4 +1,4 @@
-"""Keep room beside free accelerators for the work that needs them."""
+"""Reserve part of a host for the work that will use its free accelerators."""
 
 from collections import Counter
 
@@ -6,16 +6,20 @@
 
 __all__ = ["AcceleratorReserve"]
 
-_NOTHING = Amounts()
+_ZERO = Amounts()
 
 
 class AcceleratorReserve:
-    """Know the capacities of the hosts, and what of each other work leaves free.
+    """Compute which amounts of each host are reserved for its free accelerators.
+
+    An accelerator can't be used without processors and memory of its host, so work that
+    needs no accelerators leaves a part of them free.
 
     Parameters
     ----------
     percent : int
-        Of each free accelerator's share of its host's processors and memory.
+        Part of each free accelerator's share of its host's processors and memory that
+        is reserved, in percent.
     """
 
     __slots__ = ("_capacities", "_percent")
@@ -30,27 +34,27 @@
         return list(self._capacities)
 
     def add(self, capacity):
-        """Count a host."""
+        """Add a host with a capacity."""
         self._capacities[capacity] += 1
 
     def remove(self, capacity):
-        """Count a host no longer."""
+        """Remove a host with a capacity."""
         self._capacities[capacity] -= 1
         if not self._capacities[capacity]:
             del self._capacities[capacity]
 
     def could_hold(self, demand, members=1):
-        """Return whether the hosts could hold so many members if all were empty."""
-        found = 0
+        """Return whether empty hosts could hold a number of members of a demand."""
+        count = 0
         for capacity, hosts in self._capacities.items():
-            found += hosts * _times(demand, capacity, members)
-        return found >= members
+            count += hosts * _members_per_host(demand, capacity, members)
+        return count >= members
 
     def may_use_reserve(self, demand):
-        """Return whether a demand may use what is kept.
+        """Return whether a demand may use the reserved amounts.
 
-        Besides work for accelerators this is work that no host could hold beside
-        idle accelerators: it would never run.
+        Work for accelerators may, and so may work that fits no empty host without the
+        reserved amounts: otherwise it would never run.
         """
         return demand.accelerators or not any(
             demand.fits_in(capacity - self.reserved_amounts(capacity, capacity))
@@ -58,24 +62,24 @@
         )
 
     def reserved_amounts(self, capacity, free):
-        """Return what other work leaves to the free accelerators of a host."""
+        """Return the amounts of a host that are reserved for its free accelerators."""
         if not capacity.accelerators:
-            return _NOTHING
-        share = max(0, free.accelerators) * self._percent
-        whole = capacity.accelerators * 100
+            return _ZERO
+        numerator = max(0, free.accelerators) * self._percent
+        denominator = capacity.accelerators * 100
         return Amounts(
-            capacity.processors * share // whole,
-            capacity.memory * share // whole,
+            capacity.processors * numerator // denominator,
+            capacity.memory * numerator // denominator,
         )
 
 
-def _times(demand, capacity, most):
-    """Return how often a demand fits in a capacity, at most so often."""
+def _members_per_host(demand, capacity, limit):
+    """Return how many times a demand fits in a capacity, at most ``limit``."""
     if not demand.fits_in(capacity):
         return 0
-    parts = (
+    pairs = (
         (capacity.processors, demand.processors),
         (capacity.memory, demand.memory),
         (capacity.accelerators, demand.accelerators),
     )
-    return min([most, *(there // needed for there, needed in parts if needed)])
+    return min([limit, *(available // needed for available, needed in pairs if needed)])
--- a/papayapick/ledger/amounts.py
+++ b/papayapick/ledger/amounts.py
@@ -1,10 +1,10 @@
-"""Add and compare amounts of resources as integers."""
+"""Amounts of resources, as integers."""
 
 __all__ = ["Amounts"]
 
 
 class Amounts:
-    """Hold processors, memory and accelerators.
+    """Hold amounts of processors, memory and accelerators.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
 
     @classmethod
     def from_mapping(cls, found):
-        """Read the three amounts from a mapping; what is missing is 0."""
+        """Read the three amounts from a mapping; a missing amount is 0."""
         return cls(
             int(found.get("processors", 0)),
             int(found.get("memory", 0)),
@@ -45,7 +45,7 @@
         }
 
     def fits_in(self, other):
-        """Return whether no amount is over the other's."""
+        """Return whether no amount exceeds that of ``other``."""
         return (
             self.processors <= other.processors
             and self.memory <= other.memory
--- a/papayapick/ledger/exceptions.py
+++ b/papayapick/ledger/exceptions.py
@@ -13,7 +13,7 @@
 
 
 class LedgerError(PapayapickError):
-    """Stand for any error of the ledger."""
+    """Base class of the errors of the ledger."""
 
     code = "ledger.error"
 
@@ -33,7 +33,7 @@
 
 
 class ReservationUnknown(LedgerError):
-    """Report a reservation that is over or never was."""
+    """Report a reservation that was released or never existed."""
 
     code = "ledger.reservation-unknown"
     template = "reservation {reservation} is not held"
--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -1,4 +1,4 @@
-"""Reserve room on workers before anything starts there."""
+"""Ledger of the room on hosts, which is reserved before a task starts."""
 
 import threading
 
@@ -9,10 +9,11 @@
 
 __all__ = ["HostLedger"]
 
-# Of each free accelerator's share of its host, what other work must leave free.
+# Part of each free accelerator's share of its host that other work must leave free.
 RESERVED_PERCENT = 50
+# Sort key of hosts without accelerators, before those with no free accelerator.
 _WITHOUT_ACCELERATORS = -1
-_NOTHING = Amounts()
+_ZERO = Amounts()
 
 
 class _Host:
@@ -31,49 +32,49 @@
         self.name = name
         self.capacity = capacity
         self.free = capacity
-        self.held = _NOTHING
-        self.shown = _NOTHING
+        self.held = _ZERO
+        self.shown = _ZERO
         self.is_quarantined = False
         self.is_open = False
         self.reservations = set()
 
 
 class HostLedger:
-    """Count the room of the workers of one shard.
+    """Track the capacity, reservations and free amounts of the hosts of one shard.
 
-    A host is closed until it has been fenced and its inventory taken; a closed
+    A host is closed until it has been fenced and its inventory has been read; a closed
     host counts as full. Two indexes hold the open hosts, one for work that needs
-    accelerators and one for work that needs none; the second shows of a host
-    with free accelerators only what it need not keep for them.
+    accelerators and one for work that needs none. The second shows a host without the
+    amounts that are reserved for its free accelerators.
 
-    Several tasks of a placer use one ledger. Each change and each choice with its
-    reservation holds the lock: two choices of the same room would overfill a host.
+    Several threads of a placer use one ledger. Each change holds the lock, and so must
+    a choice with its reservation: two choices of the same room would overfill a host.
 
     Parameters
     ----------
     reserved_percent : int
-        Of each free accelerator's share of its host's processors and memory,
-        what work without accelerators leaves free.
+        Part of each free accelerator's share of its host's processors and memory that
+        work without accelerators leaves free, in percent.
     """
 
     __slots__ = (
-        "_accelerated",
+        "_with_accelerators",
         "_hosts",
         "_reserve",
         "_lock",
-        "_plain",
+        "_without_accelerators",
         "_reservations",
-        "_shown",
+        "_total_shown",
         "_version",
     )
 
     def __init__(self, reserved_percent=RESERVED_PERCENT):
         self._hosts = {}
         self._reservations = {}
-        self._plain = RoomIndex()
-        self._accelerated = RoomIndex()
+        self._without_accelerators = RoomIndex()
+        self._with_accelerators = RoomIndex()
         self._reserve = AcceleratorReserve(reserved_percent)
-        self._shown = _NOTHING
+        self._total_shown = _ZERO
         self._version = 0
         self._lock = threading.RLock()
 
@@ -88,16 +89,16 @@
 
     @property
     def lock(self):
-        """Return the lock to hold over a choice and its reservation."""
+        """Return the lock to hold during a choice and its reservation."""
         return self._lock
 
     @property
     def version(self):
-        """Return a number that grows with each change."""
+        """Return a number that increases with each change."""
         return self._version
 
     def add(self, name, capacity):
-        """Add a closed host; an equal one that is there stays as it is."""
+        """Add a closed host, or update the capacity of a known one."""
         with self._lock:
             host = self._hosts.get(name)
             if host is None:
@@ -108,36 +109,36 @@
                 self._reserve.remove(host.capacity)
                 free = host.free + capacity - host.capacity
                 host.capacity = capacity
-                self._change(host, free)
+                self._set_free(host, free)
 
     def open(self, name):
-        """Let new work go to a host."""
+        """Allow new work on a host."""
         with self._lock:
             host = self._host(name)
             host.is_open = True
-            self._change(host, host.free)
+            self._set_free(host, host.free)
 
     def close(self, name):
-        """Let no new work go to a host; what is reserved stays reserved."""
+        """Allow no new work on a host; its reservations stay."""
         with self._lock:
             host = self._host(name)
             host.is_open = False
-            self._change(host, host.free)
+            self._set_free(host, host.free)
 
     def set_quarantined(self, name, is_quarantined):
-        """Keep new work from an open host, or let it go there again."""
+        """Keep new work away from an open host, or allow it there again."""
         with self._lock:
             host = self._host(name)
             if host.is_quarantined != is_quarantined:
                 host.is_quarantined = is_quarantined
-                self._change(host, host.free)
+                self._set_free(host, host.free)
 
     def is_open(self, name):
-        """Return whether new work may go to a host."""
+        """Return whether a host is open, even if it is quarantined."""
         return name in self._hosts and self._hosts[name].is_open
 
     def remove(self, name):
-        """Forget a host and its reservations."""
+        """Remove a host and its reservations."""
         with self._lock:
             self.close(name)
             host = self._hosts.pop(name)
@@ -146,11 +147,13 @@
                 del self._reservations[reservation]
 
     def reserve(self, name, reservation, demand):
-        """Take room on an open host; the same reservation again changes nothing.
+        """Reserve room on an open host; repeating a reservation has no effect.
 
         Raises
         ------
-        HostUnknown, HostFull
+        HostUnknown
+        HostFull
+            If the host is closed or quarantined, or the demand exceeds its free room.
         """
         with self._lock:
             if reservation in self._reservations:
@@ -158,20 +161,20 @@
             host = self._host(name)
             if host.is_quarantined or not host.is_open or not demand.fits_in(host.free):
                 raise HostFull(host=name, demand=demand)
-            self._take(host, reservation, demand)
+            self._add_reservation(host, reservation, demand)
 
     def restore(self, name, reservation, demand):
-        """Count work that an inventory found, even where it overfills the host.
+        """Add a reservation for work that an inventory lists, even beyond the capacity.
 
-        What runs there runs, whatever the ledger thinks; a free amount below
-        zero keeps new work away until it has ended.
+        The work is running in any case. A negative free amount keeps new work away
+        until enough of it has ended.
         """
         with self._lock:
             if reservation not in self._reservations:
-                self._take(self._host(name), reservation, demand)
+                self._add_reservation(self._host(name), reservation, demand)
 
     def release(self, reservation):
-        """Give room back on proof that the work has ended.
+        """Release a reservation whose work is known to have ended.
 
         Returns
         -------
@@ -187,31 +190,31 @@
                 raise ReservationUnknown(reservation=reservation)
             host, demand = self._reservations.pop(reservation)
             host.reservations.discard(reservation)
-            self._change(host, host.free + demand)
+            self._set_free(host, host.free + demand)
             return host.name
 
     def hold(self, name, amounts):
-        """Hide free room of a host from choices; a reservation may still use it.
+        """Hide free room of a host from ``best_fit``; a reservation may still use it.
 
         Parameters
         ----------
         name : str
         amounts : Amounts
-            Replaces what was held there before; nothing ends the hold.
+            Amounts to hide instead of those of an earlier call; zero to end the hold.
         """
         with self._lock:
             host = self._host(name)
             if host.held != amounts:
                 host.held = amounts
-                self._index(host)
+                self._update_index(host)
 
     def free(self, name):
-        """Return the free amounts of a host, nothing where it is closed."""
+        """Return the free amounts of a host, or zero if it is closed."""
         host = self._host(name)
         return host.free if host.is_open else Amounts()
 
     def capacity(self, name):
-        """Return all that a host holds."""
+        """Return the capacity of a host."""
         return self._host(name).capacity
 
     def reservations(self, name):
@@ -225,7 +228,7 @@
         return (found[0].name, found[1]) if found else None
 
     def open_hosts(self):
-        """Return the names of the hosts that take new work."""
+        """Return the names of the hosts that are open and not quarantined."""
         with self._lock:
             return [
                 host.name
@@ -234,7 +237,7 @@
             ]
 
     def best_fit(self, demand):
-        """Return the open host that holds a demand with least left over.
+        """Return the first open host in the order of ``RoomIndex`` with enough room.
 
         Returns
         -------
@@ -242,19 +245,21 @@
         """
         with self._lock:
             if self._reserve.may_use_reserve(demand):
-                name = self._accelerated.find(demand)
+                name = self._with_accelerators.find(demand)
                 if name is not None:
                     return name
-            return None if demand.accelerators else self._plain.find(demand)
+            return (
+                None if demand.accelerators else self._without_accelerators.find(demand)
+            )
 
     def usable(self, name, free, demand):
-        """Return what a demand may use of the free amounts of a host.
+        """Return the part of a host's free amounts that a demand may use.
 
         Parameters
         ----------
         name : str
         free : Amounts
-            Now, or as it will be.
+            Present or expected free amounts.
         demand : Amounts
 
         Returns
@@ -267,43 +272,44 @@
         return free - self._reserve.reserved_amounts(host.capacity, free)
 
     def grow(self, reservation, used):
-        """Raise a reservation to what its task is proved to use; never lower it.
+        """Raise a reservation to the reported usage of its task; never lower it.
 
-        The host runs it, whatever the ledger thinks; a free amount below zero
-        keeps new work away.
+        The task uses these amounts in any case, so the free amounts of the host may
+        become negative, which keeps new work away.
         """
         with self._lock:
             if reservation not in self._reservations:
                 return
             host, demand = self._reservations[reservation]
-            grown = Amounts(
+            raised = Amounts(
                 max(demand.processors, used.processors),
                 max(demand.memory, used.memory),
                 max(demand.accelerators, used.accelerators),
             )
-            if grown != demand:
-                self._reservations[reservation] = (host, grown)
-                self._change(host, host.free + demand - grown)
+            if raised != demand:
+                self._reservations[reservation] = (host, raised)
+                self._set_free(host, host.free + demand - raised)
 
     def capacities(self):
-        """Return the different capacities of the hosts."""
+        """Return the distinct capacities of the hosts."""
         with self._lock:
             return self._reserve.capacities
 
     def may_have_room(self, demand, members):
-        """Return whether so many members fit in all free room taken together.
+        """Return whether the sum of all free room suffices for a number of members.
 
-        It refuses most large jobs without a try; a true answer promises nothing.
+        This cheap check rejects most large jobs that can't be placed. If it passes, the
+        job may still not fit, as the room is spread over the hosts.
         """
         with self._lock:
             return (
-                demand.processors * members <= self._shown.processors
-                and demand.memory * members <= self._shown.memory
-                and demand.accelerators * members <= self._shown.accelerators
+                demand.processors * members <= self._total_shown.processors
+                and demand.memory * members <= self._total_shown.memory
+                and demand.accelerators * members <= self._total_shown.accelerators
             )
 
     def could_hold(self, demand, members=1):
-        """Return whether the hosts could hold so many members if all were empty."""
+        """Return whether empty hosts could hold a number of members of a demand."""
         with self._lock:
             return self._reserve.could_hold(demand, members)
 
@@ -312,31 +318,31 @@
             raise HostUnknown(host=name)
         return self._hosts[name]
 
-    def _take(self, host, reservation, demand):
+    def _add_reservation(self, host, reservation, demand):
         self._reservations[reservation] = (host, demand)
         host.reservations.add(reservation)
-        self._change(host, host.free - demand)
+        self._set_free(host, host.free - demand)
 
-    def _change(self, host, free):
+    def _set_free(self, host, free):
         self._version += 1
         host.free = free
-        self._index(host)
+        self._update_index(host)
 
-    def _index(self, host):
-        self._plain.discard(host.name)
-        self._accelerated.discard(host.name)
+    def _update_index(self, host):
+        self._without_accelerators.discard(host.name)
+        self._with_accelerators.discard(host.name)
         shown = host.free - host.held
-        # An overfilled host stands in no index: none of it is free.
-        is_taking = host.is_open and not host.is_quarantined
-        is_shown = is_taking and _NOTHING.fits_in(shown)
-        before, host.shown = host.shown, shown if is_shown else _NOTHING
-        self._shown = self._shown + host.shown - before
+        # An overfilled host is in no index: even an empty demand must not go there.
+        accepts_work = host.is_open and not host.is_quarantined
+        is_shown = accepts_work and _ZERO.fits_in(shown)
+        before, host.shown = host.shown, shown if is_shown else _ZERO
+        self._total_shown = self._total_shown + host.shown - before
         if not is_shown:
             return
         if not host.capacity.accelerators:
-            self._plain.add(host.name, shown, _WITHOUT_ACCELERATORS)
+            self._without_accelerators.add(host.name, shown, _WITHOUT_ACCELERATORS)
             return
-        self._accelerated.add(host.name, shown)
-        rest = shown - self._reserve.reserved_amounts(host.capacity, shown)
-        if _NOTHING.fits_in(rest):
-            self._plain.add(host.name, rest, shown.accelerators)
+        self._with_accelerators.add(host.name, shown)
+        unreserved = shown - self._reserve.reserved_amounts(host.capacity, shown)
+        if _ZERO.fits_in(unreserved):
+            self._without_accelerators.add(host.name, unreserved, shown.accelerators)
--- a/papayapick/ledger/slots.py
+++ b/papayapick/ledger/slots.py
@@ -1,4 +1,4 @@
-"""Count slots and connections of instances."""
+"""Ledger of the slots of instances."""
 
 from papayapick.ledger.exceptions import HostFull, HostUnknown, ReservationUnknown
 
@@ -31,9 +31,10 @@
 
 
 class SlotLedger:
-    """Count the slots of the instances of one shard.
+    """Track the slots in use of the instances of one shard.
 
-    An instance is closed until a new owner knows what runs there.
+    Each call needs a slot and a connection, so the lower of the two limits applies. An
+    instance is closed until the owner of the shard knows which calls run there.
     """
 
     __slots__ = ("_grants", "_instances", "_services")
@@ -49,7 +50,7 @@
         return list(self._instances)
 
     def add(self, name, service, url, slots, connections):
-        """Add a closed instance; one that is there takes the new address."""
+        """Add a closed instance, or update the address of a known one."""
         found = self._instances.get(name)
         if found is not None:
             found.url = url
@@ -59,30 +60,32 @@
         self._services.setdefault(service, []).append(instance)
 
     def open(self, name):
-        """Let new work go to an instance."""
+        """Allow new work on an instance."""
         self._instance(name).is_open = True
 
     def close(self, name):
-        """Let no new work go to an instance."""
+        """Allow no new work on an instance."""
         self._instance(name).is_open = False
 
     def is_open(self, name):
-        """Return whether new work may go to an instance."""
+        """Return whether new work is allowed on an instance."""
         return name in self._instances and self._instances[name].is_open
 
     def remove(self, name):
-        """Forget an instance; its grants end."""
+        """Remove an instance and its grants."""
         instance = self._instances.pop(name)
         self._services[instance.service].remove(instance)
         for grant in instance.grants:
             del self._grants[grant]
 
     def reserve(self, name, grant):
-        """Take a slot and a connection of an open instance.
+        """Reserve a slot of an open instance.
 
         Raises
         ------
-        HostUnknown, HostFull
+        HostUnknown
+        HostFull
+            If the instance is closed or has no free slot.
         """
         instance = self._instance(name)
         if not instance.is_open or len(instance.grants) >= instance.limit:
@@ -91,13 +94,13 @@
         instance.grants.add(grant)
 
     def restore(self, name, grant):
-        """Count a call that was found running, even over the limit."""
+        """Add a grant for a call that is running already, even beyond the limit."""
         instance = self._instance(name)
         self._grants[grant] = instance
         instance.grants.add(grant)
 
     def release(self, grant):
-        """Give a slot back on proof that the call has ended.
+        """Release the slot of a call that is known to have ended.
 
         Returns
         -------
@@ -119,11 +122,11 @@
         return self._instance(name).url
 
     def busy(self, name):
-        """Return the slots in use at an instance."""
+        """Return the number of slots in use at an instance."""
         return len(self._instance(name).grants)
 
     def free_slots(self, service):
-        """Return the free slots of a service's open instances."""
+        """Return the number of free slots at the open instances of a service."""
         return sum(
             max(0, instance.limit - len(instance.grants))
             for instance in self._services.get(service, ())
@@ -135,7 +138,13 @@
         return [instance.name for instance in self._services.get(service, ())]
 
     def open_instances(self, service):
-        """Return names, slots in use and limits of the open instances."""
+        """Return the open instances of a service.
+
+        Returns
+        -------
+        list of (str, int, int)
+            Name, slots in use and limit of each instance.
+        """
         return [
             (instance.name, len(instance.grants), instance.limit)
             for instance in self._services.get(service, ())
--- a/tests/ledger/test_hosts.py
+++ b/tests/ledger/test_hosts.py
@@ -1,4 +1,4 @@
-"""The ledger is never over, and its index finds what fits."""
+"""Tests of the host ledger: no host is overfilled, and the index finds room."""
 
 import pytest
 from hypothesis import given, settings
@@ -34,7 +34,7 @@
 
 
 class Account:
-    """Count by hand, from the steps alone, what each host holds."""
+    """Model of the ledger: compute the usage of each host from the steps alone."""
 
     def __init__(self):
         self.capacities = {}
@@ -64,11 +64,11 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(STEPS, DEMANDS)
 def test_no_sequence_of_changes_overfills_a_host(steps, wanted):
-    """A host is given more than it holds.
+    """Guard against reservations that exceed the capacity of a host.
 
-    Tasks start, end, are found by an inventory and lose their host in any order;
-    a miscount in one of these leaves room that is not there, and the next
-    reservation overfills the host.
+    Tasks start, end, are listed by an inventory and lose their host in any order. If
+    one of these changes is miscounted, the ledger shows room that does not exist, and
+    the next reservation overfills the host.
     """
     ledger, account = HostLedger(), Account()
     for step, *arguments in steps:
@@ -92,7 +92,8 @@
 
 
 def _must_find(ledger, wanted, fitting):
-    # A host with accelerators may be kept from work that needs none.
+    # The room of a host with accelerators may be reserved, so that work that needs none
+    # does not find it.
     plain = [name for name in fitting if not ledger.capacity(name).accelerators]
     return bool(fitting if wanted.accelerators else plain)
 
@@ -116,15 +117,15 @@
         (Amounts(999999999, 0), None),
     ],
 )
-def test_the_tightest_host_that_fits_is_chosen(demand, expected):
+def test_best_fit_returns_the_host_with_the_least_free_room(demand, expected):
     assert ledger_of(*CAPACITIES).best_fit(demand) == expected
 
 
-def test_work_without_accelerators_leaves_them_their_share():
-    """A job for accelerators waits while accelerators idle.
+def test_work_without_accelerators_leaves_the_reserve_free():
+    """Guard against a job that waits while the accelerators it needs are idle.
 
-    Small tasks fill the processors of the host that has the accelerators; no
-    processor is left there to drive one.
+    Small tasks could fill all processors of the host with the accelerators, so that
+    none would be left for a task that uses an accelerator.
     """
     ledger = ledger_of(Amounts(8000, 8192, 8))
     number = 0
@@ -135,11 +136,11 @@
     assert ledger.best_fit(Amounts(4000, 4096, 8)) == "worker-0"
 
 
-def test_an_overfilled_host_takes_nothing_until_it_has_room():
-    """An inventory finds more work on a host than the ledger thought.
+def test_overfilled_host_accepts_no_work_until_it_has_room():
+    """Guard against new work on a host whose inventory exceeds its capacity.
 
-    A smaller capacity is announced while work runs; room that is not there
-    must not be given away until the work has ended.
+    This happens if a smaller capacity is announced while work runs. The host must
+    accept nothing until enough of that work has ended.
     """
     ledger = ledger_of(Amounts(2000, 2048))
     ledger.restore("worker-0", "found", Amounts(3000, 1024))
@@ -150,27 +151,27 @@
     assert ledger.best_fit(Amounts(2000, 2048)) == "worker-0"
 
 
-def test_many_hosts_without_memory_are_not_looked_at():
-    """A decision takes milliseconds although one host in 500 has room.
+def test_hosts_without_free_memory_are_not_examined():
+    """Guard against decisions that take milliseconds if one host in 500 has room.
 
-    The others have all processors free and no memory: an index by processors
-    alone goes through every one of them.
+    The other hosts have free processors but no free memory. An index by processors
+    alone would examine every one of them.
     """
-    looked = []
+    examined = []
 
-    class Watched(Amounts):
+    class RecordingAmounts(Amounts):
         __slots__ = ()
 
         def fits_in(self, other):
-            looked.append(other)
+            examined.append(other)
             return super().fits_in(other)
 
     ledger = ledger_of(*[Amounts(16000, 1024)] * 500, Amounts(16000, 65536))
-    assert ledger.best_fit(Watched(1000, 4096)) == "worker-500"
-    assert len(looked) <= 40
+    assert ledger.best_fit(RecordingAmounts(1000, 4096)) == "worker-500"
+    assert len(examined) <= 40
 
 
-def test_could_hold_follows_the_hosts():
+def test_could_hold_follows_changes_of_the_hosts():
     ledger = ledger_of(Amounts(2000, 2048))
     assert not ledger.could_hold(Amounts(4000, 1))
     ledger.add("worker-0", Amounts(4000, 2048))
@@ -179,10 +180,11 @@
     assert not ledger.could_hold(Amounts(1, 1))
 
 
-def test_work_that_fits_nowhere_else_may_use_what_accelerators_keep():
-    """A job is accepted as it fits a host, and waits until its deadline.
+def test_work_that_fits_nowhere_else_may_use_the_reserve():
+    """Guard against a job that is accepted but waits until its deadline.
 
-    All hosts have accelerators, and each keeps half of itself for them.
+    All hosts have accelerators and reserve half of their room for them, so the job fits
+    a host only with the reserved amounts.
     """
     ledger = ledger_of(Amounts(8000, 8192, 1))
     assert ledger.best_fit(Amounts(6000, 1024)) == "worker-0"
