--- a/papayapick/routing/__init__.py
+++ b/papayapick/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choose the shard and the instance that serve a call."""
+"""Get a slot for a call: choose the shard whose placer grants it."""
 
 from papayapick.routing.exceptions import (
     DeadlineExceeded,
--- a/papayapick/routing/exceptions.py
+++ b/papayapick/routing/exceptions.py
@@ -12,7 +12,7 @@
 
 
 class RoutingError(PapayapickError):
-    """Stand for any error of routing; the work did not run."""
+    """Base class of the errors of routing; the work did not run."""
 
     code = "routing.error"
     outcome = "not_run"
@@ -23,25 +23,25 @@
     """Report a service that no reachable shard serves."""
 
     code = "routing.no-route"
-    template = "no shard in reach serves {service}"
+    template = "no reachable shard serves {service}"
 
 
 class GrantExpired(RoutingError):
-    """Report a slot that came too late to be used."""
+    """Report a slot whose grant expired before it could be used."""
 
     code = "routing.grant-expired"
-    template = "the slot on {instance} came too late to be used"
+    template = "the grant of a slot on {instance} has expired"
 
 
 class DeadlineExceeded(RoutingError):
-    """Report a deadline that passed before a slot was had."""
+    """Report a deadline that passed before a slot was granted."""
 
     code = "routing.deadline-over"
-    template = "the deadline passed before a slot of {service} was had"
+    template = "the deadline passed before a slot of {service} was granted"
 
 
 class NoPlacerAnswer(RoutingError):
-    """Report placers that gave no answer; a slot alone runs nothing."""
+    """Report that no placer answered; a slot that was granted anyway runs nothing."""
 
     code = "routing.placer-silent"
     template = "no placer answered for {service}"
--- a/papayapick/routing/loads.py
+++ b/papayapick/routing/loads.py
@@ -1,27 +1,28 @@
-"""Correct the loads of heartbeats by what this process did since."""
+"""Correct the loads in heartbeats by the later requests of this process."""
 
 import threading
 
 __all__ = ["Candidate", "LoadView"]
 
-_SILENCE_SECONDS = 1.0
+_UNREACHABLE_SECONDS = 1.0
 _REFUSAL_SECONDS = 0.5
-_VOID = 1 << 20
+_ALL_SLOTS = 1 << 20
 
 
 class Candidate:
-    """Hold one shard that may serve a call.
+    """Hold one shard whose placer may grant a slot for a call.
 
     Parameters
     ----------
     tier : int
-        Own zone, own region or across the link; the lower the nearer.
+        0 for the own zone, 1 for the own region, 2 for a shard across the link.
     shard : str
     peer : Peer
     room : int
-        Free slots less waiting requests, as far as this process knows.
+        Free slots less waiting requests, as estimated by this process.
     is_refusing : bool
-        Refused a request of the service a moment ago.
+        Whether its placer refused a request for the service within the last half
+        second.
     """
 
     __slots__ = ("is_refusing", "peer", "room", "shard", "tier")
@@ -35,19 +36,19 @@
 
 
 class _LocalChanges:
-    __slots__ = ("change", "heartbeat_at", "refusing_until")
+    __slots__ = ("heartbeat_at", "refusing_until", "slots_taken")
 
     def __init__(self, heartbeat_at):
         self.heartbeat_at = heartbeat_at
-        self.change = 0
+        self.slots_taken = 0
         self.refusing_until = 0.0
 
 
 class LoadView:
-    """Keep the grants, releases and refusals since the last heartbeat.
+    """Track the grants, releases and refusals since the last heartbeat of each shard.
 
-    The loads that heartbeats tell are up to two seconds old. Without this, all
-    calls of that time go to the shard that looked emptiest.
+    The loads in heartbeats are up to two seconds old. Without a correction, all calls
+    within that time would go to the shard that had the most free slots.
 
     Parameters
     ----------
@@ -63,7 +64,7 @@
         self._lock = threading.Lock()
 
     def candidate(self, tier, shard, peer, load):
-        """Return a shard with its load corrected.
+        """Return a candidate with the corrected load of a shard.
 
         Parameters
         ----------
@@ -71,6 +72,7 @@
         shard : str
         peer : Peer
         load : ServiceLoad
+            Load in the last heartbeat.
 
         Returns
         -------
@@ -78,63 +80,67 @@
         """
         now = self._clock.monotonic()
         with self._lock:
-            own = self._of(shard, load.service, peer.last_heard)
-            room = load.free_slots - load.waiting - own.change
-            return Candidate(tier, shard, peer, room, own.refusing_until > now)
+            changes = self._changes_of(shard, load.service, peer.last_heard)
+            room = load.free_slots - load.waiting - changes.slots_taken
+            return Candidate(tier, shard, peer, room, changes.refusing_until > now)
 
     def note_grant(self, shard, service, heartbeat_at):
-        """Count a slot that was had."""
+        """Count a slot that was granted."""
         with self._lock:
-            self._of(shard, service, heartbeat_at).change += 1
+            self._changes_of(shard, service, heartbeat_at).slots_taken += 1
 
     def note_release(self, shard, service):
-        """Count a slot that was given back."""
+        """Count a slot that was released."""
         with self._lock:
-            own = self._changes.get((shard, service))
-            if own is not None:
-                own.change -= 1
+            changes = self._changes.get((shard, service))
+            if changes is not None:
+                changes.slots_taken -= 1
 
     def note_refusal(self, candidate, service):
-        """Take a shard for full until its next heartbeat."""
+        """Treat a shard as full until its next heartbeat."""
         now = self._clock.monotonic()
         with self._lock:
-            own = self._of(candidate.shard, service, candidate.peer.last_heard)
-            own.change += max(0, candidate.room)
-            own.refusing_until = now + _REFUSAL_SECONDS
+            changes = self._changes_of(
+                candidate.shard, service, candidate.peer.last_heard
+            )
+            changes.slots_taken += max(0, candidate.room)
+            changes.refusing_until = now + _REFUSAL_SECONDS
 
     def note_stale(self, shard, service):
-        """Take a shard for full whose slot a backend server refused as stale.
+        """Treat a shard as full after a backend server refused its slot as stale.
 
-        Another placer owns it now, and the heartbeat that tells so is still
-        to come; until then its former owner gives out slots that are void.
+        Another placer owns the shard, but its heartbeat has not arrived yet. Until
+        then, the former owner may grant further slots that are invalid.
         """
         with self._lock:
-            own = self._changes.get((shard, service))
-            if own is not None:
-                own.change += _VOID
-                own.refusing_until = self._clock.monotonic() + _REFUSAL_SECONDS
+            changes = self._changes.get((shard, service))
+            if changes is not None:
+                changes.slots_taken += _ALL_SLOTS
+                changes.refusing_until = self._clock.monotonic() + _REFUSAL_SECONDS
 
     def note_unreachable(self, peer):
-        """Send nothing to a peer for a while."""
+        """Send no request to a peer for a second."""
         with self._lock:
-            now = self._clock.monotonic()
-            self._unreachable_until[peer.name] = now + _SILENCE_SECONDS
+            self._unreachable_until[peer.name] = (
+                self._clock.monotonic() + _UNREACHABLE_SECONDS
+            )
 
     def note_answer(self, peer):
-        """Take a peer for reachable again."""
+        """Treat a peer as reachable again."""
         if peer.name in self._unreachable_until:
             with self._lock:
                 self._unreachable_until.pop(peer.name, None)
 
     def is_unreachable(self, peer):
-        """Return whether a peer was silent a moment ago."""
+        """Return whether a peer failed to answer within the last second."""
         return self._unreachable_until.get(peer.name, 0.0) > self._clock.monotonic()
 
     def may_try(self, peer):
         """Return whether a request may be sent to a peer.
 
-        After a silence one request at a time tries it again: all threads that
-        waited for the same dead peer would leave none for the living.
+        After a failure, one request per second tries the peer again. If all did, every
+        thread could wait for the same failed peer, and none would be left for the
+        reachable ones.
         """
         with self._lock:
             until = self._unreachable_until.get(peer.name)
@@ -143,15 +149,15 @@
             now = self._clock.monotonic()
             if until > now:
                 return False
-            self._unreachable_until[peer.name] = now + _SILENCE_SECONDS
+            self._unreachable_until[peer.name] = now + _UNREACHABLE_SECONDS
             return True
 
-    def _of(self, shard, service, heartbeat_at):
-        own = self._changes.get((shard, service))
-        if own is None:
-            own = self._changes[(shard, service)] = _LocalChanges(heartbeat_at)
-        if own.heartbeat_at != heartbeat_at:
-            # The newer heartbeat has them in its count.
-            own.heartbeat_at = heartbeat_at
-            own.change = 0
-        return own
+    def _changes_of(self, shard, service, heartbeat_at):
+        changes = self._changes.get((shard, service))
+        if changes is None:
+            changes = self._changes[(shard, service)] = _LocalChanges(heartbeat_at)
+        if changes.heartbeat_at != heartbeat_at:
+            # The load in the newer heartbeat includes these changes.
+            changes.heartbeat_at = heartbeat_at
+            changes.slots_taken = 0
+        return changes
--- a/papayapick/routing/moves.py
+++ b/papayapick/routing/moves.py
@@ -1,8 +1,9 @@
-"""Tell a shard that has another owner from one that refuses."""
+"""Recognise refusals of placers that do not own the shard any more."""
 
 __all__ = ["has_moved"]
 
-# Refusals of a placer that does not serve the shard now; its next owner will.
+# Beginnings of the codes with which a placer refuses requests for a shard that it does
+# not serve at present. Another owner may serve them.
 _MOVED_CODES = (
     "ownership.",
     "placer.shard-closed",
@@ -12,7 +13,7 @@
 
 
 def has_moved(error):
-    """Return whether a refusal says that the shard has another owner.
+    """Return whether a refusal means that another placer may own the shard.
 
     Parameters
     ----------
--- a/papayapick/routing/slots.py
+++ b/papayapick/routing/slots.py
@@ -1,4 +1,4 @@
-"""Ask placers for slots, nearest first."""
+"""Request slots from placers, nearest first."""
 
 from concurrent.futures import TimeoutError as FutureTimeout
 
@@ -23,15 +23,15 @@
 
 
 class Grant:
-    """Hold a slot and the moment after which it must not be used.
+    """Hold a granted slot and the time after which it must not be used.
 
     Parameters
     ----------
     granted : SlotGrant
     client : PeerClient
-        Of the placer that gave it.
+        Client of the placer that granted the slot.
     usable_until : float
-        Monotonic seconds, counted from when the slot was asked for.
+        Monotonic seconds of this process.
     service : str
     """
 
@@ -44,18 +44,18 @@
         self.service = service
 
     def check_usable(self, now):
-        """Raise GrantExpired once the placer may have given the slot away.
+        """Raise GrantExpired once the placer may have released the slot.
 
-        A gateway frozen between the grant and the send wakes with a slot that
-        a new owner of the shard knows nothing of; the age of the request for
-        it, by the gateway's own clock, shows that.
+        A gateway that was paused between the grant and the call may resume with a slot
+        that a new owner of the shard does not know of. The age of the request for the
+        slot, by the gateway's own clock, reveals this.
         """
         if now > self.usable_until:
             raise GrantExpired(instance=self.granted.instance)
 
 
 class _Call:
-    """Hold what stays the same over the tries of one request for a slot."""
+    """Hold the parameters that all attempts of one request for a slot share."""
 
     __slots__ = ("avoid", "caller", "deadline", "policy", "request_id", "traceparent")
 
@@ -69,7 +69,7 @@
 
 
 class SlotClient:
-    """Get slots from the placers and give them back.
+    """Acquire slots from the placers and release them.
 
     Parameters
     ----------
@@ -78,7 +78,7 @@
     clock : Clock
     generator : random.Random
     zones : callable
-        Returns the region of each zone.
+        Returns a mapping of each zone to its region.
     """
 
     __slots__ = ("_clock", "_generator", "_loads", "_peers", "_settings", "_zones")
@@ -93,7 +93,7 @@
 
     @classmethod
     def from_process(cls, process):
-        """Build the client of a gateway or placer from its shared parts.
+        """Build the client from the shared objects of a gateway or placer process.
 
         Parameters
         ----------
@@ -110,21 +110,21 @@
     def acquire(
         self, policy, request_id, wait_seconds, caller="", avoid=(), traceparent=""
     ):
-        """Get a slot of a service.
+        """Acquire a slot of a service.
 
-        Shards with room are asked first, nearest first, for a slot at once;
-        only where none has one does the request wait at a shard. No shard is
-        asked twice.
+        The client first requests a slot without waiting from shards with room, nearest
+        first. Only if none grants one does the request wait at a shard. A shard gets at
+        most one request without and one with a wait.
 
         Parameters
         ----------
         policy : ServicePolicy
         request_id : str
         wait_seconds : float
-            How long the request may wait for a slot.
+            Longest time that the request may wait for a slot.
         caller : str
         avoid : sequence of str
-            Instances that failed this request before.
+            Instances that failed this request in earlier attempts.
         traceparent : str
 
         Returns
@@ -134,7 +134,7 @@
         Raises
         ------
         RoutingError, PeerRefused
-            Nothing ran.
+            If no slot was granted; the work did not run.
         """
         deadline = self._clock.monotonic() + wait_seconds
         call = _Call(policy, request_id, deadline, caller, avoid, traceparent)
@@ -149,16 +149,19 @@
         return grant
 
     def release(self, grant, outcome, run_seconds):
-        """Give a slot back; a lost release is found by the placer's sweep."""
+        """Release a slot.
+
+        If the message is lost, the placer's periodic sweep releases the slot.
+        """
         granted = grant.granted
         if outcome == _STALE:
             self._loads.note_stale(granted.shard, grant.service)
         else:
             self._loads.note_release(granted.shard, grant.service)
-        self._tell_release(granted, grant.client, outcome, run_seconds)
+        self._send_release(granted, grant.client, outcome, run_seconds)
 
     @staticmethod
-    def _tell_release(granted, client, outcome, run_seconds):
+    def _send_release(granted, client, outcome, run_seconds):
         try:
             client.tell(
                 Release(
@@ -173,53 +176,53 @@
             return
 
     def _try_room(self, call, candidates):
-        """Ask shards with room for a slot at once; none of them lets it wait."""
+        """Request a slot without waiting from shards with room."""
         error = None
         for _ in range(_TRIES_WITH_ROOM):
-            found = self._next_with_room(candidates)
-            if found is None:
+            candidate = self._next_with_room(candidates)
+            if candidate is None:
                 break
-            candidates.remove(found)
-            grant, refusal = self._ask(call, found, 0.0)
+            candidates.remove(candidate)
+            grant, refusal = self._request_slot(call, candidate, 0.0)
             if grant is not None:
                 return grant, None
             error = refusal or error
             if refusal is not None:
-                # It may still let the request wait.
-                found.room = 0
-                candidates.append(found)
+                # The shard may still accept a request that waits.
+                candidate.room = 0
+                candidates.append(candidate)
         return None, error
 
     def _try_to_wait(self, call, candidates, error):
-        """Let the request wait at one shard; a full one sends it to the next."""
+        """Request a slot with waiting from one shard, or the next if it refuses."""
         candidates.sort(key=self._waiting_order)
         tries = 0
-        for found in candidates:
+        for candidate in candidates:
             if tries == _TRIES_TO_WAIT:
                 break
-            rest = call.deadline - self._clock.monotonic()
-            if rest <= 0:
+            remaining_seconds = call.deadline - self._clock.monotonic()
+            if remaining_seconds <= 0:
                 return None, error or DeadlineExceeded(service=call.policy.name)
-            if not self._loads.may_try(found.peer):
+            if not self._loads.may_try(candidate.peer):
                 continue
             tries += 1
-            grant, refusal = self._ask(call, found, rest)
+            grant, refusal = self._request_slot(call, candidate, remaining_seconds)
             if grant is not None:
                 return grant, None
             error = refusal or error
         return None, error
 
-    def _ask(self, call, candidate, wait_seconds):
-        """Ask one shard.
+    def _request_slot(self, call, candidate, wait_seconds):
+        """Request a slot from one shard.
 
         Returns
         -------
         (Grant or None, PeerRefused or None)
-            Neither where the placer is silent.
+            Both are None if the placer did not answer.
         """
         peer, name = candidate.peer, call.policy.name
-        asked = self._clock.monotonic()
-        wanted = SlotRequest(
+        requested_at = self._clock.monotonic()
+        request = SlotRequest(
             shard=candidate.shard,
             service=name,
             request_id=call.request_id,
@@ -230,7 +233,7 @@
         )
         heartbeat_at = peer.last_heard
         try:
-            granted = self._answer(peer.client, wanted, wait_seconds, call.traceparent)
+            granted = self._call(peer.client, request, wait_seconds, call.traceparent)
         except PeerRefused as refusal:
             self._loads.note_answer(peer)
             self._loads.note_refusal(candidate, name)
@@ -240,48 +243,49 @@
             return None, None
         self._loads.note_answer(peer)
         self._loads.note_grant(candidate.shard, name, heartbeat_at)
-        # Counted from the asking for a slot given at once, and from the end of
-        # the longest wait otherwise: the placer keeps it taken for longer.
-        usable_until = asked + wait_seconds + self._settings.grant_seconds
+        # Counted from the request if it did not wait, and from the end of the longest
+        # wait otherwise. The placer keeps the slot reserved for longer than this.
+        usable_until = requested_at + wait_seconds + self._settings.grant_seconds
         return Grant(granted, peer.client, usable_until, name), None
 
-    def _answer(self, client, wanted, wait_seconds, traceparent):
-        future = client.call(wanted, traceparent)
+    def _call(self, client, request, wait_seconds, traceparent):
+        future = client.call(request, traceparent)
         try:
             return future.result(wait_seconds + _ANSWER_SECONDS)
         except FutureTimeout as error:
-            # A slot that comes after all would stay taken until the placer's
-            # sweep, while its service is short of slots.
-            future.add_done_callback(lambda done: self._give_back(done, client))
+            # A slot granted after the time-out would stay reserved until the placer's
+            # sweep, although the service is short of slots.
+            future.add_done_callback(lambda done: self._release_unused(done, client))
             raise WireError() from error
 
-    def _give_back(self, done, client):
+    def _release_unused(self, done, client):
         if not done.exception():
-            self._tell_release(done.result(), client, _UNUSED, 0.0)
+            self._send_release(done.result(), client, _UNUSED, 0.0)
 
     def _candidates(self, policy):
-        found = []
+        candidates = []
         for shard, (peer, summary) in self._peers.serving().items():
             tier = self._tier(shard)
             if tier == ACROSS_LINK and not policy.across_link:
                 continue
             for load in summary.loads:
                 if load.service == policy.name:
-                    found.append(self._loads.candidate(tier, shard, peer, load))
-        return found
+                    candidates.append(self._loads.candidate(tier, shard, peer, load))
+        return candidates
 
     def _next_with_room(self, candidates):
         with_room = [
-            found
-            for found in candidates
-            if found.room > 0 and not self._loads.is_unreachable(found.peer)
+            candidate
+            for candidate in candidates
+            if candidate.room > 0 and not self._loads.is_unreachable(candidate.peer)
         ]
         while with_room:
-            nearest = min(found.tier for found in with_room)
-            tier = [found for found in with_room if found.tier == nearest]
-            # Two draws, and not the emptiest: every gateway sees the same loads.
+            nearest = min(candidate.tier for candidate in with_room)
+            tier = [candidate for candidate in with_room if candidate.tier == nearest]
+            # The better of two random draws instead of the best of all: every gateway
+            # sees the same loads, and all would choose the same shard.
             draws = self._generator.choice(tier), self._generator.choice(tier)
-            best = max(draws, key=lambda found: found.room)
+            best = max(draws, key=lambda candidate: candidate.room)
             if self._loads.may_try(best.peer):
                 return best
             with_room.remove(best)
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -1,4 +1,4 @@
-"""Route requests for slots among shards, with peers that fail as told."""
+"""Tests of requests for slots, with peers that fail as scripted."""
 
 import random
 from concurrent.futures import Future
@@ -23,13 +23,13 @@
 
 
 class FakeClient:
-    """Answers by script: a grant, a refusal, or an error of the wire."""
+    """Answer as scripted: with a grant, a refusal or a connection error."""
 
     def __init__(self, shard):
         self.shard = shard
         self.script = "grant"
         self.asked = []
-        self.told = []
+        self.sent = []
 
     def call(self, wanted, traceparent):
         self.asked.append(wanted.wait_milliseconds)
@@ -59,7 +59,7 @@
         return answer
 
     def tell(self, release):
-        self.told.append(release)
+        self.sent.append(release)
 
 
 class FakePeers:
@@ -77,7 +77,7 @@
         return self.found
 
 
-class Bench:
+class Fixture:
     def __init__(self, rooms, across_link=True):
         self.clock = ManualClock()
         self.peers = FakePeers(rooms)
@@ -129,62 +129,62 @@
     ids=[row[0] for row in TIERS],
 )
 def test_next_tier_is_asked_at_once(scripts, across_link, expected):
-    """A zone, or the region, is gone or full, and heartbeats don't tell yet.
+    """Guard against failed calls while a zone or the region has failed or is full.
 
-    The caller must get the nearest slot that is left within the same try, and
-    no placer may be asked again and again.
+    Heartbeats do not show this yet. The caller must get the nearest remaining slot
+    within the same attempt, and no placer may get more than two requests.
     """
-    bench = Bench({"a.0": ROOM, "b.0": ROOM, "c.0": ROOM}, across_link)
+    fixture = Fixture({"a.0": ROOM, "b.0": ROOM, "c.0": ROOM}, across_link)
     for shard, script in scripts.items():
-        bench[shard].script = script
-    assert bench.acquire().granted.shard == expected
-    assert all(len(asked) <= 2 for asked in bench.asked().values())
-    assert bench.clock.monotonic() == 0
+        fixture[shard].script = script
+    assert fixture.acquire().granted.shard == expected
+    assert all(len(asked) <= 2 for asked in fixture.asked().values())
+    assert fixture.clock.monotonic() == 0
 
 
 def test_full_queue_sends_the_request_to_the_next_shard():
-    """Every slot is taken, and the queue of the own zone is full.
+    """Guard against a refusal while another shard still accepts waiting requests.
 
-    Another shard still lets requests wait; refusing the caller would be wrong.
+    Every slot is in use, and the queue of the own zone is full.
     """
-    bench = Bench({"a.0": (0, 300), "b.0": (0, 3)})
-    bench["a.0"].script = "full"
-    bench["b.0"].script = "waits"
-    assert bench.acquire().granted.shard == "b.0"
-    assert bench["b.0"].asked == [1000]
+    fixture = Fixture({"a.0": (0, 300), "b.0": (0, 3)})
+    fixture["a.0"].script = "full"
+    fixture["b.0"].script = "waits"
+    assert fixture.acquire().granted.shard == "b.0"
+    assert fixture["b.0"].asked == [1000]
 
 
-def test_refusal_of_the_last_shard_reaches_the_caller_with_its_return_time():
-    bench = Bench({"a.0": ROOM, "b.0": ROOM})
-    bench["a.0"].script = bench["b.0"].script = "full"
+def test_refusal_of_the_last_shard_keeps_its_retry_after():
+    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
+    fixture["a.0"].script = fixture["b.0"].script = "full"
     with pytest.raises(PeerRefused) as caught:
-        bench.acquire()
+        fixture.acquire()
     assert caught.value.retry_after == 0.4
-    assert sum(map(len, bench.asked().values())) <= 4
+    assert sum(map(len, fixture.asked().values())) <= 4
 
 
-def test_silent_placer_is_left_alone_for_a_while():
-    """A zone goes with its placers; each request would first try them.
+def test_unreachable_placer_gets_one_request_per_second():
+    """Guard against requests that all try the failed placers of a zone first.
 
-    One request finds out. Until the silence is over the others go elsewhere;
-    then one tries again.
+    Only one request fails. For the next second the others go to other placers, and
+    then a single request tries again.
     """
-    bench = Bench({"a.0": ROOM, "b.0": ROOM})
-    bench["a.0"].script = "unreachable"
+    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
+    fixture["a.0"].script = "unreachable"
     for _ in range(10):
-        bench.acquire()
-    assert len(bench["a.0"].asked) == 1
-    bench.clock.advance(1.1)
-    bench.acquire()
-    bench.acquire()
-    assert len(bench["a.0"].asked) == 2
-    bench["a.0"].script = "grant"
-    bench.clock.advance(1.1)
-    assert [bench.acquire().granted.shard for _ in range(3)] == ["a.0"] * 3
-
-
-def test_one_thread_at_a_time_finds_out_if_a_placer_is_back():
-    """Sixteen threads wait for one dead placer and none serves the callers."""
+        fixture.acquire()
+    assert len(fixture["a.0"].asked) == 1
+    fixture.clock.advance(1.1)
+    fixture.acquire()
+    fixture.acquire()
+    assert len(fixture["a.0"].asked) == 2
+    fixture["a.0"].script = "grant"
+    fixture.clock.advance(1.1)
+    assert [fixture.acquire().granted.shard for _ in range(3)] == ["a.0"] * 3
+
+
+def test_one_thread_at_a_time_tries_an_unreachable_placer():
+    """Guard against all threads of a gateway waiting for the same failed placer."""
     clock = ManualClock()
     view, peer = LoadView(clock), SimpleNamespace(name="placer-a")
     view.note_unreachable(peer)
@@ -192,65 +192,66 @@
     assert [view.may_try(peer) for _ in range(16)] == [True] + [False] * 15
 
 
-def test_all_silent_says_that_nothing_ran():
-    bench = Bench({"a.0": ROOM})
-    bench["a.0"].script = "broken"
+def test_no_placer_answer_reports_that_the_work_did_not_run():
+    fixture = Fixture({"a.0": ROOM})
+    fixture["a.0"].script = "broken"
     with pytest.raises(NoPlacerAnswer) as caught:
-        bench.acquire()
+        fixture.acquire()
     assert caught.value.outcome == "not_run"
 
 
 def test_own_grants_count_until_the_next_heartbeat():
-    """Two shards had room in the last heartbeat, one a little more.
+    """Guard against requests that wait while other shards have free slots.
 
-    All calls of the next half second would go to that one, though it is full
-    after a few; the others' slots stay idle and requests wait.
+    Two shards had room in the last heartbeat, one of them slightly more. Without a
+    correction, all calls until the next heartbeat would go to that one.
     """
-    bench = Bench({"a.0": (4, 0), "a.1": (3, 0), "b.0": (8, 0)})
-    shards = [bench.acquire().granted.shard for _ in range(9)]
+    fixture = Fixture({"a.0": (4, 0), "a.1": (3, 0), "b.0": (8, 0)})
+    shards = [fixture.acquire().granted.shard for _ in range(9)]
     assert shards.count("a.0") == 4
     assert shards.count("a.1") == 3
     assert shards.count("b.0") == 2
-    for peer, _ in bench.peers.found.values():
+    for peer, _ in fixture.peers.found.values():
         peer.last_heard = 1.0
-    assert bench.acquire().granted.shard in ("a.0", "a.1")
+    assert fixture.acquire().granted.shard in ("a.0", "a.1")
 
 
-def test_releases_make_room_again_before_the_next_heartbeat():
-    bench = Bench({"a.0": (1, 0), "b.0": (8, 0)})
-    first = bench.acquire()
-    bench.client.release(first, "done", 0.1)
-    assert bench.acquire().granted.shard == "a.0"
+def test_own_releases_count_until_the_next_heartbeat():
+    fixture = Fixture({"a.0": (1, 0), "b.0": (8, 0)})
+    first = fixture.acquire()
+    fixture.client.release(first, "done", 0.1)
+    assert fixture.acquire().granted.shard == "a.0"
 
 
 def test_stale_slot_sends_the_next_request_elsewhere():
-    """A former owner still gives out slots, which the servers refuse.
+    """Guard against repeated requests to a former owner of a shard.
 
-    Until the new owner is heard of, each try there fails again.
+    It still grants slots, which the servers refuse. Until a heartbeat of the new owner
+    arrives, each further attempt there would fail too.
     """
-    bench = Bench({"a.0": ROOM, "b.0": ROOM})
-    first = bench.acquire()
-    bench.client.release(first, "stale", 0.0)
-    assert [bench.acquire().granted.shard for _ in range(3)] == ["b.0"] * 3
-    for peer, _ in bench.peers.found.values():
+    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
+    first = fixture.acquire()
+    fixture.client.release(first, "stale", 0.0)
+    assert [fixture.acquire().granted.shard for _ in range(3)] == ["b.0"] * 3
+    for peer, _ in fixture.peers.found.values():
         peer.last_heard = 1.0
-    assert bench.acquire().granted.shard == "a.0"
+    assert fixture.acquire().granted.shard == "a.0"
 
 
-def test_slot_that_comes_late_is_given_back(monkeypatch):
-    """A placer was paused and grants a slot after the gateway gave up on it.
+def test_slot_that_is_granted_late_is_released(monkeypatch):
+    """Guard against a slot that stays reserved without a call until the sweep.
 
-    Nobody uses the slot; it would stay taken until the sweep.
+    A paused placer grants it after the request of the gateway has timed out.
     """
     monkeypatch.setattr(slots_module, "_ANSWER_SECONDS", 0.0)
-    bench = Bench({"a.0": ROOM, "b.0": ROOM})
-    bench["a.0"].script = "late"
-    assert bench.acquire().granted.shard == "b.0"
+    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
+    fixture["a.0"].script = "late"
+    assert fixture.acquire().granted.shard == "b.0"
     granted = SlotGrant(grant_id=7, shard="a.0", epoch=1, instance="i", url="u")
-    bench["a.0"].late.set_result(granted)
-    assert [found.outcome for found in bench["a.0"].told] == ["unused"]
+    fixture["a.0"].late.set_result(granted)
+    assert [found.outcome for found in fixture["a.0"].sent] == ["unused"]
 
 
-def test_no_shard_of_the_service():
+def test_service_without_a_shard_has_no_route():
     with pytest.raises(NoRoute):
-        Bench({}).acquire()
+        Fixture({}).acquire()
