--- a/papayapick/limits/__init__.py
+++ b/papayapick/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Bound rates, retries and waiting."""
+"""Rate limits, retry budgets, attempt timeouts and the detection of pauses."""
 
 from papayapick.limits.buckets import CallerLimits, TokenBucket
 from papayapick.limits.exceptions import CallerOverLimit, LimitError
--- a/papayapick/limits/buckets.py
+++ b/papayapick/limits/buckets.py
@@ -1,4 +1,4 @@
-"""Bound rates with token buckets."""
+"""Rate limits with token buckets."""
 
 import threading
 
@@ -8,13 +8,14 @@
 
 
 class TokenBucket:
-    """Hand out tokens at a rate, up to a burst.
+    """Grant tokens at a rate, with bursts up to a limit.
 
     Parameters
     ----------
     rate : float
-        Tokens a second.
+        Tokens per second.
     burst : float
+        Most tokens that can accumulate.
     clock : Clock
 
     Examples
@@ -25,20 +26,20 @@
     (0.0, 0.1)
     """
 
-    __slots__ = ("_burst", "_clock", "_lock", "_rate", "_then", "_tokens")
+    __slots__ = ("_burst", "_clock", "_lock", "_rate", "_refilled_at", "_tokens")
 
     def __init__(self, rate, burst, clock):
         self._rate = rate
         self._burst = burst
         self._clock = clock
         self._tokens = float(burst)
-        self._then = clock.monotonic()
+        self._refilled_at = clock.monotonic()
         self._lock = threading.Lock()
 
     def set_rate(self, rate, burst):
-        """Go on at another rate; tokens over the burst are lost."""
+        """Change rate and burst; tokens above the new burst are lost."""
         with self._lock:
-            self._grow()
+            self._refill()
             self._rate = rate
             self._burst = burst
             self._tokens = min(self._tokens, burst)
@@ -49,28 +50,29 @@
         Returns
         -------
         float
-            0.0 where they were taken, else the seconds until there are enough.
+            0.0 if they were taken, else the seconds until there are enough.
         """
         with self._lock:
-            self._grow()
+            self._refill()
             if self._tokens >= tokens:
                 self._tokens -= tokens
                 return 0.0
             return (tokens - self._tokens) / self._rate
 
-    def _grow(self):
+    def _refill(self):
         now = self._clock.monotonic()
-        grown = self._tokens + (now - self._then) * self._rate
-        self._tokens = min(self._burst, grown)
-        self._then = now
+        refilled = self._tokens + (now - self._refilled_at) * self._rate
+        self._tokens = min(self._burst, refilled)
+        self._refilled_at = now
 
 
 class CallerLimits:
-    """Hold each caller to the rate that the bundle names for it.
+    """Limit each caller to the rate that the bundle sets for it.
 
-    Every gateway admits its share of each rate: rate over live gateways. The
-    balancer spreads a caller's requests, and no gateway knows what the others
-    admit. A caller that the bundle does not name is not limited here.
+    Every gateway admits an equal share of each rate, namely the rate divided by the
+    number of live gateways: the load balancer spreads a caller's requests, and no
+    gateway knows how many the others admit. A caller that is not in the bundle is not
+    limited.
 
     Parameters
     ----------
@@ -90,7 +92,7 @@
         self._lock = threading.Lock()
 
     def use_bundle(self, bundle):
-        """Take the callers' limits of a bundle; unchanged ones keep their bucket."""
+        """Apply the callers' limits of a bundle; unchanged ones keep their bucket."""
         limits = bundle.callers
         with self._lock:
             self._buckets = {
@@ -102,16 +104,16 @@
             self._limits = limits
 
     def admit(self, caller):
-        """Count one request; raise CallerOverLimit."""
+        """Count one request, and raise CallerOverLimit if it exceeds the rate."""
         bucket = self._buckets.get(caller)
         if bucket is None:
             return
-        self._share_out()
+        self._update_shares()
         wait = bucket.take()
         if wait:
             raise CallerOverLimit(caller=caller, retry_after=wait)
 
-    def _share_out(self):
+    def _update_shares(self):
         count = max(1, self._gateways())
         if count == self._count:
             return
@@ -122,5 +124,5 @@
 
     def _share(self, limit):
         rate = limit["requests_per_second"] / self._count
-        # A burst under one token would never admit anything.
+        # With a burst below one token, no request would ever be admitted.
         return rate, max(1.0, limit["burst"] / self._count)
--- a/papayapick/limits/pauses.py
+++ b/papayapick/limits/pauses.py
@@ -1,4 +1,4 @@
-"""Notice that the process was paused."""
+"""Detection of pauses of the process."""
 
 import threading
 
@@ -8,17 +8,17 @@
 class PauseDetector:
     """Count the pauses of a process.
 
-    A process that was frozen and woken still believes in the shards, grants
-    and bundle it had. Whoever depends on such a belief compares ``count()``
-    with the count at which it was last confirmed, and confirms it again before
-    it decides anything. Either the ticker or the decision itself sees the gap,
-    whichever runs first after the pause, so no decision slips through.
+    A process that was suspended and resumed still holds its shards, grants and bundle,
+    which may have become invalid meanwhile. Code that depends on one of these compares
+    ``count()`` with the count at its last confirmation, and confirms it again before it
+    makes a decision. The gap is seen by the periodic call of ``count()`` or by that of
+    the decision, whichever runs first after the pause, so no decision is missed.
 
     Parameters
     ----------
     clock : Clock
     pause_seconds : float
-        A gap between two ticks that counts as a pause.
+        Shortest gap between two calls of ``count()`` that is a pause.
 
     Examples
     --------
@@ -30,25 +30,25 @@
     1
     """
 
-    __slots__ = ("_clock", "_count", "_lock", "_pause_seconds", "_then")
+    __slots__ = ("_clock", "_count", "_lock", "_pause_seconds", "_counted_at")
 
     def __init__(self, clock, pause_seconds):
         self._clock = clock
         self._pause_seconds = pause_seconds
-        self._then = clock.monotonic()
+        self._counted_at = clock.monotonic()
         self._count = 0
         self._lock = threading.Lock()
 
     @property
     def tick_seconds(self):
-        """Return how often ``count`` must be called while nothing decides."""
+        """Return the interval at which to call ``count`` periodically, in seconds."""
         return self._pause_seconds / 4
 
     def count(self):
-        """Note the present moment and return the pauses so far."""
+        """Record the present time and return the number of pauses so far."""
         with self._lock:
             now = self._clock.monotonic()
-            if now - self._then > self._pause_seconds:
+            if now - self._counted_at > self._pause_seconds:
                 self._count += 1
-            self._then = now
+            self._counted_at = now
             return self._count
--- a/papayapick/limits/retries.py
+++ b/papayapick/limits/retries.py
@@ -1,4 +1,4 @@
-"""Bound retries to a share of the requests."""
+"""Retry budgets, which limit retries to a share of the requests."""
 
 import threading
 
@@ -6,17 +6,17 @@
 
 
 class RetryBudget:
-    """Allow retries in proportion to first tries.
+    """Allow retries in proportion to first attempts.
 
-    Without it, retries multiply the load just when servers fail, and keep them
-    failing.
+    Without a budget, retries would multiply the load while servers are failing, and so
+    prevent them from recovering.
 
     Parameters
     ----------
     ratio : float
         Retries earned by each request.
     reserve : float
-        Most retries that can be saved up.
+        Most retries that can accumulate.
 
     Examples
     --------
@@ -37,16 +37,16 @@
 
     @property
     def can_retry(self):
-        """Return whether a retry could be taken now."""
+        """Return whether the budget allows a retry now."""
         return self._saved >= 1
 
     def earn(self):
-        """Count a first try."""
+        """Count a first attempt."""
         with self._lock:
             self._saved = min(self._reserve, self._saved + self._ratio)
 
     def spend(self):
-        """Take one retry; return whether there was one."""
+        """Spend one retry; return whether the budget allowed it."""
         with self._lock:
             if self._saved < 1:
                 return False
@@ -55,12 +55,12 @@
 
 
 class RetryBudgets:
-    """Keep a budget for each service, so that one can't spend another's.
+    """Hold a retry budget for each service, so that no service spends another's.
 
     Parameters
     ----------
     ratio, reserve : float
-        As of RetryBudget.
+        Parameters of each ``RetryBudget``.
 
     Examples
     --------
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -1,4 +1,4 @@
-"""Hold callers to their rates over several gateways."""
+"""Tests of the callers' rate limits over several gateways and of attempt timeouts."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 
 
 def admitted(limits, clock, seconds, step=0.01):
-    """Ask at every step; return how many were admitted."""
+    """Send one request per step; return the number of admitted requests."""
     count = 0
     for _ in range(int(seconds / step)):
         clock.advance(step)
@@ -26,9 +26,9 @@
 
 
 def test_gateways_share_a_rate():
-    """A caller may send 30 a second and three gateways each admit 30.
+    """Guard against a caller that gets three times its rate from three gateways.
 
-    The balancer spreads its requests, so that it gets three times its rate.
+    The load balancer spreads its requests, so each gateway must admit a third only.
     """
     clock = ManualClock()
     gateways = [CallerLimits(clock, lambda: 3) for _ in range(3)]
@@ -38,8 +38,8 @@
     assert 290 <= total <= 310
 
 
-def test_share_grows_when_gateways_go():
-    """Two of three gateways go; the caller must not be left with a third."""
+def test_share_grows_when_gateways_stop():
+    """Guard against a caller limited to a third after two of three gateways stop."""
     clock = ManualClock()
     live = [3]
     limits = CallerLimits(clock, lambda: live[0])
@@ -50,13 +50,13 @@
 
 
 def test_empty_list_of_gateways_counts_as_one():
-    """The live list was never read, and a share of nothing would be none."""
+    """Guard against a division by zero while the list of gateways was never read."""
     limits = CallerLimits(ManualClock(), lambda: 0)
     limits.use_bundle(BUNDLE)
     limits.admit("ana")
 
 
-def test_refusal_says_when_a_token_is_there():
+def test_refusal_reports_when_the_next_token_is_available():
     clock = ManualClock()
     limits = CallerLimits(clock)
     limits.use_bundle(BUNDLE)
@@ -69,16 +69,18 @@
     limits.admit("ana")
 
 
-def test_unnamed_callers_are_not_limited():
+def test_callers_that_are_not_in_the_bundle_are_not_limited():
     limits = CallerLimits(ManualClock())
     limits.use_bundle(BUNDLE)
     for _ in range(100):
         limits.admit("ben")
 
 
-def test_first_try_leaves_time_and_never_passes_the_deadline():
+def test_first_attempt_leaves_time_for_another_and_ends_before_the_deadline():
     timeouts = AttemptTimeouts()
     for number in range(64):
         timeouts.observe("counts", 0.01 if number else 1.0)
-    assert 0.03 <= timeouts.first_attempt_seconds("counts", rest=2.0) < 1.0
-    assert timeouts.first_attempt_seconds("counts", rest=0.02) <= 0.02 * 0.7
+    assert 0.03 <= timeouts.first_attempt_seconds("counts", remaining_seconds=2.0) < 1.0
+    assert (
+        timeouts.first_attempt_seconds("counts", remaining_seconds=0.02) <= 0.02 * 0.7
+    )
