--- a/papayapick/estimates/__init__.py
+++ b/papayapick/estimates/__init__.py
@@ -1,4 +1,4 @@
-"""Correct declared sizes by what tasks were seen to use."""
+"""Estimates of the resource usage of tasks, from declared and observed amounts."""
 
 from papayapick.estimates.policies import (
     DeclaredEstimate,
--- a/papayapick/estimates/policies.py
+++ b/papayapick/estimates/policies.py
@@ -1,4 +1,4 @@
-"""Say how much room a task of some kind needs."""
+"""Policies that estimate the resources to reserve for a task."""
 
 import math
 import threading
@@ -9,60 +9,68 @@
 
 __all__ = ["DeclaredEstimate", "EstimatePolicy", "ObservedQuantile"]
 
-_LEAST = 20
-_KEPT = 200
-# Too few processors slow a task down; too little memory ends it.
+_MIN_SAMPLES = 20
+_WINDOW_SIZE = 200
+# The quantile of memory is higher: a task with too few processors only runs slowly, but
+# one with too little memory is killed.
 _PROCESSORS_QUANTILE = 0.95
 _MEMORY_QUANTILE = 0.99
-_MARGIN_PERCENT = 110
+_PERCENT_WITH_MARGIN = 110
 
 
 class EstimatePolicy(Protocol):
-    """Estimate what a task uses."""
+    """Estimate the resource usage of a task."""
 
     def observe(self, kind, used):
-        """Learn the most that a task of a kind was reported to use."""
+        """Record the peak usage that was reported for a task of a kind."""
 
     def estimate(self, kind, declared):
-        """Return the Amounts to reserve for a task of a kind."""
+        """Return the Amounts to reserve for a task of a kind.
+
+        Parameters
+        ----------
+        kind : str
+        declared : Amounts
+            Demand that the caller declared.
+        """
 
 
 class DeclaredEstimate:
-    """Reserve what is declared: the baseline."""
+    """Reserve the declared amounts: the baseline for comparisons."""
 
     __slots__ = ()
 
     def observe(self, kind, used):
-        """Learn nothing."""
+        """Ignore the usage."""
 
     def estimate(self, kind, declared):
-        """Return what is declared."""
+        """Return the declared amounts."""
         return declared
 
 
-class _Kind:
+class _Samples:
     __slots__ = ("estimate", "memory", "processors")
 
     def __init__(self):
-        self.processors = deque(maxlen=_KEPT)
-        self.memory = deque(maxlen=_KEPT)
+        self.processors = deque(maxlen=_WINDOW_SIZE)
+        self.memory = deque(maxlen=_WINDOW_SIZE)
         self.estimate = None
 
 
 class ObservedQuantile:
-    """Reserve a quantile of what tasks of the same kind used, with a margin.
+    """Reserve a quantile of the usage of tasks of the same kind, plus a margin.
 
-    What is declared stands until enough tasks have ended. The last 200 of a kind
-    count, so that a changed program is followed. Accelerators are taken as whole
-    devices and stay as declared.
+    The declared amounts apply until enough tasks have ended. Only the latest 200 tasks
+    of a kind count, so that the estimate adapts when a program changes. Accelerators
+    are allocated as whole devices, so their declared number always applies.
 
     Parameters
     ----------
     ledger : HostLedger
-        An estimate that no host holds is cut to what the largest one holds: a job
-        that was accepted must not become one that never runs.
+        An estimate that exceeds the capacity of every host is reduced to that of the
+        largest one. Otherwise a job that was accepted would never run.
     quantile : float
-        Of the processors used.
+        Quantile of the processors in use.
 
     Examples
     --------
@@ -76,55 +84,55 @@
     Amounts(1100 millicores, 2200 MiB, 0 accelerators)
     """
 
-    __slots__ = ("_kinds", "_ledger", "_lock", "_quantile")
+    __slots__ = ("_samples", "_ledger", "_lock", "_quantile")
 
     def __init__(self, ledger, quantile=_PROCESSORS_QUANTILE):
         self._ledger = ledger
         self._quantile = quantile
-        self._kinds = {}
+        self._samples = {}
         self._lock = threading.Lock()
 
     def observe(self, kind, used):
-        """Learn the most that a task of a kind was reported to use."""
+        """Record the peak usage that was reported for a task of a kind."""
         with self._lock:
-            found = self._kinds.setdefault(kind, _Kind())
-            found.processors.append(used.processors)
-            found.memory.append(used.memory)
-            found.estimate = None
+            samples = self._samples.setdefault(kind, _Samples())
+            samples.processors.append(used.processors)
+            samples.memory.append(used.memory)
+            samples.estimate = None
 
     def estimate(self, kind, declared):
-        """Return the quantile seen with its margin, else what is declared."""
+        """Return the observed quantile with its margin, or the declared amounts."""
         with self._lock:
-            found = self._kinds.get(kind)
-            if found is None or len(found.processors) < _LEAST:
+            samples = self._samples.get(kind)
+            if samples is None or len(samples.processors) < _MIN_SAMPLES:
                 return declared
-            if found.estimate is None:
-                found.estimate = (
-                    _quantile(found.processors, self._quantile),
-                    _quantile(found.memory, _MEMORY_QUANTILE),
+            if samples.estimate is None:
+                samples.estimate = (
+                    _quantile(samples.processors, self._quantile),
+                    _quantile(samples.memory, _MEMORY_QUANTILE),
                 )
-            processors, memory = found.estimate
-        wanted = Amounts(processors, memory, declared.accelerators)
-        if self._ledger.could_hold(wanted):
-            return wanted
-        return self._cut(wanted, declared)
-
-    def _cut(self, wanted, declared):
-        held = [
+            processors, memory = samples.estimate
+        estimate = Amounts(processors, memory, declared.accelerators)
+        if self._ledger.could_hold(estimate):
+            return estimate
+        return self._reduce_to_capacity(estimate, declared)
+
+    def _reduce_to_capacity(self, estimate, declared):
+        reduced = [
             Amounts(
-                min(wanted.processors, capacity.processors),
-                min(wanted.memory, capacity.memory),
-                wanted.accelerators,
+                min(estimate.processors, capacity.processors),
+                min(estimate.memory, capacity.memory),
+                estimate.accelerators,
             )
             for capacity in self._ledger.capacities()
-            if wanted.accelerators <= capacity.accelerators
+            if estimate.accelerators <= capacity.accelerators
         ]
-        if not held:
+        if not reduced:
             return declared
-        return max(held, key=lambda found: (found.processors, found.memory))
+        return max(reduced, key=lambda amounts: (amounts.processors, amounts.memory))
 
 
 def _quantile(values, quantile):
     ordered = sorted(values)
-    place = min(len(ordered) - 1, math.ceil(quantile * len(ordered)) - 1)
-    return -(-ordered[place] * _MARGIN_PERCENT // 100)
+    position = min(len(ordered) - 1, math.ceil(quantile * len(ordered)) - 1)
+    return -(-ordered[position] * _PERCENT_WITH_MARGIN // 100)
--- a/tests/estimates/test_policies.py
+++ b/tests/estimates/test_policies.py
@@ -1,4 +1,4 @@
-"""Sizes follow what tasks use, never below proof and never above the host."""
+"""Tests of the estimates: they follow the observed usage within host capacities."""
 
 import pytest
 
@@ -17,31 +17,34 @@
     return ledger
 
 
-def seen(ledger, *used):
+def policy_with(ledger, *samples):
     policy = ObservedQuantile(ledger)
-    for one in used:
-        policy.observe("kind", one)
+    for used in samples:
+        policy.observe("kind", used)
     return policy
 
 
-def test_what_is_declared_stands_until_enough_was_seen():
-    policy = seen(ledger_of(Amounts(16000, 65536)), *[Amounts(500, 500)] * 19)
+def test_declared_amounts_apply_until_there_are_enough_samples():
+    policy = policy_with(ledger_of(Amounts(16000, 65536)), *[Amounts(500, 500)] * 19)
     assert policy.estimate("kind", DECLARED) == DECLARED
     policy.observe("kind", Amounts(500, 500))
     assert policy.estimate("kind", DECLARED) == Amounts(550, 550)
     assert policy.estimate("other", DECLARED) == DECLARED
 
 
-def test_one_in_ten_that_uses_much_counts():
-    """A tenth of the tasks slow all others down: the mean looks harmless."""
+def test_estimate_covers_a_tenth_of_the_tasks_with_high_usage():
+    """Guard against an estimate by the mean, which a tenth of the tasks hardly changes.
+
+    These tasks would slow all others on their hosts down.
+    """
     used = [Amounts(500, 500)] * 18 + [Amounts(3000, 4000)] * 2
-    policy = seen(ledger_of(Amounts(16000, 65536)), *used)
+    policy = policy_with(ledger_of(Amounts(16000, 65536)), *used)
     assert policy.estimate("kind", DECLARED) == Amounts(3300, 4400)
 
 
-def test_a_changed_program_is_followed():
+def test_estimate_adapts_to_a_changed_program():
     used = [Amounts(500, 500)] * 200 + [Amounts(2000, 2000)] * 30
-    policy = seen(ledger_of(Amounts(16000, 65536)), *used)
+    policy = policy_with(ledger_of(Amounts(16000, 65536)), *used)
     assert policy.estimate("kind", DECLARED) == Amounts(2200, 2200)
 
 
@@ -52,17 +55,17 @@
         ([Amounts(8000, 16384), Amounts(9000, 1024, 4)], 2, Amounts(9000, 1024, 2)),
     ],
 )
-def test_an_estimate_above_every_host_is_cut(capacities, accelerators, expected):
-    """A job that was accepted never runs: its estimate outgrew all hosts."""
-    policy = seen(ledger_of(*capacities), *[Amounts(12000, 30000)] * 20)
+def test_estimate_is_reduced_to_the_largest_host(capacities, accelerators, expected):
+    """Guard against an accepted job that never runs as its estimate fits no host."""
+    policy = policy_with(ledger_of(*capacities), *[Amounts(12000, 30000)] * 20)
     declared = Amounts(4000, 1024, accelerators)
     assert policy.estimate("kind", declared) == expected
 
 
-def test_room_that_a_task_is_proved_to_use_is_given_to_no_other():
-    """A host is given more than it holds, as one task uses four times its size.
+def test_reported_usage_of_a_task_is_not_free_for_others():
+    """Guard against an overfilled host if a task uses more than it has reserved.
 
-    Its use is reported after the start; from then on the ledger counts it.
+    The usage is reported after the start; from then on the ledger must count it.
     """
     ledger = ledger_of(Amounts(4000, 4096))
     ledger.reserve("worker-0", "a", Amounts(1000, 1024))
@@ -76,8 +79,8 @@
     assert ledger.free("worker-0") == Amounts(4000, 4096)
 
 
-def test_jobs_that_use_a_quarter_of_their_size_are_packed_by_their_use():
-    """A worker idles as all jobs declare four times what they use."""
+def test_jobs_that_use_a_quarter_of_their_demand_are_packed_by_usage():
+    """Guard against an idle worker if all jobs declare four times their usage."""
     cell = JobCell({"worker-0": Amounts(8000, 16384)})
     work = {"run_seconds": 1, "usage": {"processors": 1000, "memory": 1024}}
     for number in range(20):
