--- a/benchmarks/cancellations.py
+++ b/benchmarks/cancellations.py
@@ -22,7 +22,7 @@
 from papayapick.ownership.queries import ShardRow
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.shards import Shard
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from papayapick.wire.messages import SlotRequest, Submit
 from tests.placer.jobcells import JobCell
 from tests.standins import MemoryObjects, MemoryTable
@@ -58,7 +58,7 @@
         self.table.rows[row.key] = Row(row.key, {}, 1)
         bucket = TokenBucket(WRITES_PER_SECOND, WRITES_PER_SECOND, self.clock)
         self.shard = Shard(row, self.process, bucket, lambda shard: None)
-        self.desk = WorkDesk(self.process)
+        self.desk = WorkDispatcher(self.process)
         self.runner = JobRunner(self.process, WorkerClient(None), self.desk)
         self.executor.submit(self.shard.journal.run)
         self._add_instances()
@@ -80,9 +80,9 @@
             caller="manager",
         )
         began = time.perf_counter()
-        grant = self.shard.desk.request(wanted, 256)
+        grant = self.shard.slot_allocator.request(wanted, 256)
         spent = time.perf_counter() - began
-        self.shard.desk.release(grant.grant_id)
+        self.shard.slot_allocator.release(grant.grant_id)
         return spent
 
     def cancel_all(self, jobs):
@@ -98,7 +98,7 @@
                 ledger.add(name, "counts", "", SLOTS, 64)
                 ledger.open(name)
 
-        self.shard.desk.with_ledger(add)
+        self.shard.slot_allocator.with_ledger(add)
 
     def _fill(self, jobs):
         self.shard.hosts.add("worker-0", Amounts(4000, 8192))
--- a/benchmarks/timeliness.py
+++ b/benchmarks/timeliness.py
@@ -10,7 +10,7 @@
 
 from benchmarks.tables import print_rows
 from papayapick.placement.steps import order_steps
-from tests.pool.standins import QUEUE, Replay
+from tests.pool.standins import QUEUE, PoolSimulation
 
 WORKERS = 24
 TASKS = 10
@@ -40,16 +40,16 @@
 
 
 def measure(share):
-    load = Replay(workers=WORKERS, length=SECONDS)
+    load = PoolSimulation(workers=WORKERS, length=SECONDS)
     owed = 0.0
     for _ in range(round(LOAD_SECONDS / TICK_SECONDS)):
         owed += share * CAPACITY * TICK_SECONDS
         while owed >= 1:
-            load.hand_in(TASKS, estimate=SECONDS)
+            load.submit_job(TASKS, estimate=SECONDS)
             owed -= 1
         load.run(TICK_SECONDS)
     load.run(LOAD_SECONDS * 2)
-    took = load.took()
+    took = load.job_durations()
     return {
         "in_time": sum(one <= OBJECTIVE for one in took) / len(took),
         "late": sum(OBJECTIVE < one <= 3 * OBJECTIVE for one in took) / len(took),
--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -29,7 +29,7 @@
     RandomInstance,
     RoundRobin,
 )
-from papayapick.placer.slots import SlotDesk
+from papayapick.placer.slots import SlotAllocator
 from papayapick.routing import SlotClient
 from papayapick.wire import PeerRefused, PeerUnreachable
 from papayapick.wire.messages import ShardSummary
@@ -185,7 +185,7 @@
         ledger = SlotLedger()
         draw = random.Random(self.draw.random())
         policy = build(self.clock, draw)
-        desk = SlotDesk(f"{zone}.0", 1, ledger, policy, self.clock, draw)
+        desk = SlotAllocator(f"{zone}.0", 1, ledger, policy, self.clock, draw)
         for number in range(INSTANCES):
             name = f"{zone}-{number}"
             ledger.add(name, "counts", name, SLOTS, 64)
@@ -220,7 +220,7 @@
 
     def _reconcile(self):
         for desk in self.desks.values():
-            for name in desk.doubtful():
+            for name in desk.in_doubt_instances():
                 if self.faults.get(name) != "gone":
                     desk.reconcile(name, self.running[name])
 
--- a/papayapick/entry/beats.py
+++ b/papayapick/entry/beats.py
@@ -81,7 +81,7 @@
     def broadcast(self, owner):
         """Cache an owner's changed job states and send them to the other hosts."""
         self._note_backlogs(owner)
-        states = owner.news.take()
+        states = owner.news.take_changes()
         if not states:
             return
         self._host.job_states.note_statuses(states)
--- a/papayapick/placement/pauses.py
+++ b/papayapick/placement/pauses.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     ledger : HostLedger
-    quotas : QuotaBook
+    quotas : QuotaTracker
     claims : iterable of WaitingJob
         In the order of service. The search ends at the first for which pauses cannot
         make room.
--- a/papayapick/placement/queue.py
+++ b/papayapick/placement/queue.py
@@ -27,7 +27,7 @@
     ledger : HostLedger
     policy : StartPolicy, optional
     order : JobOrder, optional
-    quotas : QuotaBook, optional
+    quotas : QuotaTracker, optional
     """
 
     __slots__ = (
--- a/papayapick/placement/team_queues.py
+++ b/papayapick/placement/team_queues.py
@@ -18,7 +18,7 @@
     Parameters
     ----------
     order : JobOrder
-    quotas : QuotaBook
+    quotas : QuotaTracker
     """
 
     __slots__ = ("_due", "_jobs", "_keys", "_order", "_quotas", "_teams")
--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -1,4 +1,4 @@
-"""Own shards: claim those this placer should serve, and lose them truthfully."""
+"""Claim, confirm and give up the ownership of shards."""
 
 import threading
 
@@ -23,43 +23,43 @@
 
 
 class ShardOwner:
-    """Hold the shards of one placer.
+    """Manage the shards that one placer owns.
 
     Parameters
     ----------
     process : Process
-    keeper : HostKeeper
+    host_reconciler : HostReconciler
     bucket : TokenBucket
-        Writes that the journals of this process may make.
+        Limits the journal writes of the process.
     on_taken : callable
-        Called with a shard whose work is loaded and whose hosts were looked at.
+        Called with a shard after its work was loaded and its hosts were refreshed.
     on_lost : callable
-        Called with a shard that was closed.
+        Called with a shard after it was closed.
     """
 
     __slots__ = (
         "_bucket",
         "_claimed",
         "_gate",
-        "_keeper",
+        "_host_reconciler",
         "_lock",
         "_on_lost",
         "_on_taken",
         "_process",
         "_shards",
-        "_taking",
+        "_takeovers",
     )
 
-    def __init__(self, process, keeper, bucket, on_taken, on_lost):
+    def __init__(self, process, host_reconciler, bucket, on_taken, on_lost):
         self._process = process
-        self._keeper = keeper
+        self._host_reconciler = host_reconciler
         self._bucket = bucket
         self._on_taken = on_taken
         self._on_lost = on_lost
         self._shards = {}
         self._claimed = {}
         self._gate = LookGate(process.clock, lambda: process.hears_store())
-        self._taking = set()
+        self._takeovers = set()
         self._lock = threading.Lock()
 
     @property
@@ -73,15 +73,15 @@
         with self._lock:
             return self._shards.get(name)
 
-    def serving(self, name):
+    def require(self, name):
         """Return an owned shard; raise ShardNotOwned."""
         shard = self.get(name)
         if shard is None:
             raise ShardNotOwned(shard=name)
         return shard
 
-    def own(self):
-        """Confirm the owned shards and take those that this placer should serve.
+    def update_ownership(self):
+        """Confirm the owned shards and claim those that this placer should serve.
 
         Raises
         ------
@@ -100,58 +100,62 @@
             for name in process.watcher.bundle.shards()
         ]
         wanted = [row for row in wanted if self._should_take(row)]
-        futures = [process.executor.submit(self.take, row) for row in wanted]
+        futures = [process.executor.submit(self.take_over, row) for row in wanted]
         for future in futures:
             try:
                 future.result()
             except PlatformError as error:
-                _LOG.info("takeover put off", extra={"error": str(error)})
+                _LOG.info("takeover postponed", extra={"error": str(error)})
 
-    def take(self, row, serving=None):
-        """Claim a shard, load its work, look at its hosts and serve it.
+    def take_over(self, row, serving=None):
+        """Claim a shard, load its work, serve it and open its hosts.
 
         Parameters
         ----------
         row : ShardRow
-            As it was read.
+            The row as it was read.
         serving : concurrent.futures.Future, optional
-            Settled as soon as requests are taken, with the hosts still to be
-            looked at.
+            Resolved when the shard accepts requests, before its hosts are opened,
+            or when the attempt has ended.
 
         Returns
         -------
         Shard or None
-            None where another placer was first.
+            None if this process owns the shard already or another placer claimed
+            it first.
 
         Raises
         ------
         PlatformError
-            The shard may be claimed but is not served; the next look goes on.
+            The shard may be claimed but is not served. The next update of the
+            ownership continues the takeover.
         """
         with self._lock:
-            if row.shard in self._shards or row.shard in self._taking:
-                # Two journals at one epoch would write the same segments.
+            if row.shard in self._shards or row.shard in self._takeovers:
+                # Two journals of the same epoch would write the same segments.
                 return None
-            self._taking.add(row.shard)
+            self._takeovers.add(row.shard)
         try:
             shard = self._claim_and_load(row)
         finally:
             with self._lock:
-                self._taking.discard(row.shard)
+                self._takeovers.discard(row.shard)
             if serving is not None:
                 serving.set_result(None)
         if shard is not None:
-            self._keeper.refresh(shard, self._process.peers.entries, self._count())
+            self._host_reconciler.refresh(
+                shard, self._process.peers.entries, self._shards_per_zone()
+            )
             self._on_taken(shard)
         return shard
 
     def lose(self, shard):
-        """Close a shard that a newer owner has."""
-        self.forget(shard)
+        """Close a shard that has a newer owner, and log the loss."""
+        self.close(shard)
         _LOG.warning("shard lost", extra={"shard": shard.name, "epoch": shard.epoch})
 
-    def forget(self, shard):
-        """Close a shard and serve it no more."""
+    def close(self, shard):
+        """Close a shard and stop serving it."""
         with self._lock:
             if self._shards.get(shard.name) is shard:
                 del self._shards[shard.name]
@@ -165,7 +169,9 @@
             return None
         shard = Shard(taken, process, self._bucket, self.lose)
         load_work(shard, process.table, process.objects)
-        self._keeper.note(shard, process.peers.entries, self._count())
+        self._host_reconciler.add_listed(
+            shard, process.peers.entries, self._shards_per_zone()
+        )
         with self._lock:
             self._shards[shard.name] = shard
             self._claimed.pop(shard.name, None)
@@ -173,17 +179,17 @@
         _LOG.info("shard taken", extra={"shard": shard.name, "epoch": shard.epoch})
         return shard
 
-    def _count(self):
+    def _shards_per_zone(self):
         document = self._process.watcher.bundle.document
         return document["topology"]["shards_per_zone"]
 
     def _claim(self, row):
-        # A claim whose work could not be loaded, the table or object store
-        # having failed in between, is gone on with: a claim at each look would
-        # fence the hosts again and again.
-        before = self._claimed.get(row.shard)
-        if before is not None and before.version == row.version:
-            return before
+        # If the table or object store failed after the claim, so that the work was
+        # not loaded, the takeover continues with the same claim. A new claim at
+        # each attempt would raise the epoch and fence the hosts each time.
+        earlier = self._claimed.get(row.shard)
+        if earlier is not None and earlier.version == row.version:
+            return earlier
         process = self._process
         try:
             taken = claim(process.table, row, process.settings.host_name)
@@ -205,7 +211,7 @@
                 shard.confirm(pauses)
 
     def _may_have_changed(self):
-        """Return whether the rows may tell something that the peers don't."""
+        """Return whether the rows may differ from what the peers announce."""
         shards = self.shards
         served = self._process.peers.serving()
         return (
@@ -225,6 +231,7 @@
         if preferred_owner(row.shard, candidates(process.peers.live())) != host:
             return False
         if row.owner in ("", host):
-            # Its own name on a shard it does not serve: an earlier life's.
+            # A row with this host's name, for a shard that it does not serve, is
+            # left from before a restart of the process.
             return True
         return not process.peers.is_alive(row.owner)
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -1,4 +1,4 @@
-"""Run the placer: own shards, grant slots, run durable work."""
+"""Assemble and run the placer, which owns shards, grants slots and runs work."""
 
 import json
 import threading
@@ -19,8 +19,8 @@
 from papayapick.placer.payloads import state_of
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.runners import WorkLoop
-from papayapick.placer.takeover import HostKeeper
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.takeover import HostReconciler
+from papayapick.placer.work import WorkDispatcher
 from papayapick.routing import SlotClient
 from papayapick.wire.messages import (
     Handover,
@@ -36,33 +36,34 @@
 PROGRAM = "papayapick-placer"
 _LOG = get_logger(__name__)
 _RUNNERS = 16
-_EXPIRE_SECONDS = 0.02
+_EXPIRY_INTERVAL_SECONDS = 0.02
 _IDLE_SECONDS = 5.0
-_UNLISTED_RETRY_SECONDS = 1.0
-_LOOK_SECONDS = 0.02
+_NO_HOST_LIST_RETRY_SECONDS = 1.0
+_POLL_SECONDS = 0.02
 _JOB = "job"
 
 
 class Placer:
-    """Answer gateways and other placers, and run the loops of a placer.
+    """Answer the messages of gateways and placers and run the background loops.
 
     Parameters
     ----------
     settings : Settings
+    clock : Clock, optional
     """
 
     __slots__ = (
+        "_dispatcher",
         "_handover",
         "_has_queued",
         "_health",
+        "_host_reconciler",
         "_jobs",
-        "_keeper",
         "_listing",
         "_loop",
         "_owner",
         "_process",
         "_requests",
-        "_work",
     )
 
     def __init__(self, settings, clock=None):
@@ -76,16 +77,22 @@
         pool = process.platform_pool
         workers, instances = WorkerClient(pool), InstanceClient(pool)
         self._listing = HostListing()
-        self._keeper = HostKeeper(workers, instances, process.executor, self._listing)
-        self._work = WorkDesk(process)
+        self._host_reconciler = HostReconciler(
+            workers, instances, process.executor, self._listing
+        )
+        self._dispatcher = WorkDispatcher(process)
         self._owner = ShardOwner(
-            process, self._keeper, bucket, self._resume, self._work.leave
+            process,
+            self._host_reconciler,
+            bucket,
+            self._resume,
+            self._dispatcher.fail_shard_waiters,
         )
-        self._loop = WorkLoop(process, self._work, self._runner)
-        self._handover = ShardHandover(process, self._owner, self._loop.in_hand)
+        self._loop = WorkLoop(process, self._dispatcher, self._runner_of)
+        self._handover = ShardHandover(process, self._owner, self._loop.running_count)
         slots = SlotClient.from_process(process)
-        self._requests = RequestRunner(process, slots, instances, self._work)
-        self._jobs = JobRunner(process, workers, self._work)
+        self._requests = RequestRunner(process, slots, instances, self._dispatcher)
+        self._jobs = JobRunner(process, workers, self._dispatcher)
         process.metrics.owned_shards.set_function(lambda: len(self.shards))
         self._health = HealthServer(process, self.is_ready)
 
@@ -100,60 +107,78 @@
         return self._owner.shards
 
     def is_ready(self):
-        """Return whether peers may send work."""
+        """Return whether a bundle is loaded and the placer is not draining."""
         return bool(self._process.watcher.sequence) and not self._process.is_draining
 
     def addresses(self):
-        """Return what the process listens on, for its log."""
+        """Return the listening addresses by protocol, for the log."""
         host, port = self._process.peer_server.address
         return {"http": self._health.address, "peer": f"{host}:{port}"}
 
     def start(self):
-        """Start every task."""
+        """Start the health and peer servers and the background loops."""
         process = self._process
         self._health.start()
         process.start()
-        process.loop(self.own_shards, process.settings.poll_seconds)
+        process.loop(self.update_ownership, process.settings.poll_seconds)
         process.loop(self.refresh_hosts, process.settings.poll_seconds)
-        process.loop(self._expire, _EXPIRE_SECONDS)
-        process.loop(self._answer_overdue, _EXPIRE_SECONDS)
+        process.loop(self._expire_waiting, _EXPIRY_INTERVAL_SECONDS)
+        process.loop(self._answer_overdue, _EXPIRY_INTERVAL_SECONDS)
         process.loop(self._renew, process.settings.task_lease_seconds / 20)
         for _ in range(_RUNNERS):
             process.loop(self._loop.step, 0)
 
     def stop(self):
-        """Let what runs end, hand the shards over, and close.
+        """Drain, hand over the shards, and close.
 
-        A shard is served until the runs of its durable work that are in hand
-        have ended, and only those: the next owner starts the rest. Then what
-        still comes here is passed on for as long as gateways may send it.
+        A shard is served until the runs of its durable work that this process
+        has started have ended; the next owner starts the rest. Afterwards,
+        requests that still arrive here are forwarded for as long as gateways may
+        not know the new owner.
         """
         process = self._process
         process.is_draining = True
         clock = process.clock
         deadline = clock.monotonic() + process.settings.drain_seconds
         while self.shards and clock.monotonic() < deadline:
-            self._handover.hand_over_idle()
-            clock.wait(process.is_stopping, _LOOK_SECONDS)
+            self._handover.hand_over_idle_shards()
+            clock.wait(process.is_stopping, _POLL_SECONDS)
         for shard in self.shards:
-            self._handover.hand_over(shard, must_leave=True)
+            self._handover.hand_over(shard, force=True)
         if self._handover.summaries():
-            clock.wait(process.is_stopping, self._handover.passing_seconds)
+            clock.wait(process.is_stopping, self._handover.forward_seconds)
         self._health.close()
         process.close()
 
     def handle(self, payload, peer, traceparent):
-        """Answer one message of a peer."""
+        """Handle one message of a peer and return the answer.
+
+        Parameters
+        ----------
+        payload : Payload
+        peer : Hello
+            Identity of the sender; not used.
+        traceparent : str
+
+        Returns
+        -------
+        Payload, concurrent.futures.Future or None
+            None where the message has no answer.
+
+        Raises
+        ------
+        PlacerError, ShardNotOwned, OwnershipUnconfirmed
+        """
         if isinstance(payload, Handover):
             return self._handover.receive(payload)
         if self._owner.get(payload.shard) is None:
-            passed = self._handover.pass_on(payload, traceparent)
-            if passed is not None:
-                return None if isinstance(payload, Release) else passed
+            forwarded = self._handover.forward(payload, traceparent)
+            if forwarded is not None:
+                return None if isinstance(payload, Release) else forwarded
         if isinstance(payload, Release):
             self._release(payload)
             return None
-        shard = self._owner.serving(payload.shard)
+        shard = self._owner.require(payload.shard)
         with (
             self._process.tracing.span(type(payload).__name__, traceparent),
             log_fields(shard=shard.name, epoch=shard.epoch),
@@ -163,26 +188,26 @@
             if isinstance(payload, Submit):
                 return self._submit(shard, payload)
             if isinstance(payload, WorkCancel):
-                return self._work.cancel(shard, payload.request_id)
+                return self._dispatcher.cancel(shard, payload.request_id)
             if isinstance(payload, WorkQuery):
                 return self._query(shard, payload)
         return None
 
-    def own_shards(self):
-        """Confirm the owned shards and take those that this placer should serve."""
-        self._owner.own()
+    def update_ownership(self):
+        """Confirm the owned shards and claim those that this placer should serve."""
+        self._owner.update_ownership()
         if not self._process.is_draining:
-            self._handover.give_back()
+            self._handover.return_to_preferred()
 
     def refresh_hosts(self):
-        """Bring the hosts of the owned shards in step with the live list."""
+        """Synchronize the hosts of the owned shards with the live host list."""
         process = self._process
         if not process.watcher.sequence:
             return
-        count = self._shards_per_zone()
+        per_zone = self._shards_per_zone()
         for shard in self.shards:
-            self._keeper.refresh(shard, process.peers.entries, count)
-            self._keeper.reconcile(shard)
+            self._host_reconciler.refresh(shard, process.peers.entries, per_zone)
+            self._host_reconciler.reconcile_grants(shard)
 
     def _shards_per_zone(self):
         document = self._process.watcher.bundle.document
@@ -190,49 +215,49 @@
 
     def _resume(self, shard):
         for item in shard.book.items:
-            runner = self._runner(item)
+            runner = self._runner_of(item)
             if item.state == "waiting":
-                self._work.enqueue(shard, item)
+                self._dispatcher.enqueue(shard, item)
             elif item.state == "running":
                 runner.recover(shard, item)
 
-    def _grant(self, shard, wanted):
+    def _grant(self, shard, request):
         shard.check_serving()
-        policy = self._process.watcher.bundle.services.get(wanted.service)
+        policy = self._process.watcher.bundle.services.get(request.service)
         limit = policy.waiting_limit if policy else 0
         with self._process.metrics.decision_seconds.time():
-            granted = shard.desk.request(wanted, limit)
+            granted = shard.slot_allocator.request(request, limit)
         if isinstance(granted, Future):
             self._has_queued.set()
         return granted
 
-    def _submit(self, shard, wanted):
+    def _submit(self, shard, submission):
         shard.check_serving()
         bundle = self._process.watcher.bundle
-        if wanted.kind == _JOB:
-            policy = bundle.jobs[wanted.name]
-            self._check_holdable(shard, wanted)
+        if submission.kind == _JOB:
+            policy = bundle.jobs[submission.name]
+            self._check_job_fits(shard, submission)
         else:
-            policy = bundle.services[wanted.name]
-        return self._work.submit(shard, wanted, policy)
+            policy = bundle.services[submission.name]
+        return self._dispatcher.submit(shard, submission, policy)
 
-    def _check_holdable(self, shard, wanted):
-        job = json.loads(wanted.job)
+    def _check_job_fits(self, shard, submission):
+        job = json.loads(submission.job)
         demand = Amounts.from_mapping(job["demand"])
         entries = self._process.peers.entries
         if not entries:
-            # The live list was not read yet. "Never" is final for a caller, and
-            # with no worker known it would be said of every job.
-            raise ShardClosed(shard=shard.name, retry_after=_UNLISTED_RETRY_SECONDS)
+            # The live host list has not been read yet. NeverFits is final for a
+            # caller, and with no worker known it would be raised for every job.
+            raise ShardClosed(shard=shard.name, retry_after=_NO_HOST_LIST_RETRY_SECONDS)
         if not self._listing.could_hold(demand, entries, self._shards_per_zone()):
             raise NeverFits(demand=demand)
         members = job["members"]
         if not shard.hosts.could_hold(demand, members):
-            # It would wait for its deadline: a job stays within its shard.
+            # A job stays within its shard, so it would wait until its deadline.
             raise JobNeverFits(shard=shard.name, members=members, demand=demand)
 
     def _query(self, shard, query):
-        item = self._work.find(shard, query.request_id)
+        item = self._dispatcher.find(shard, query.request_id)
         state = state_of(item, self._process.objects)
         if query.explain:
             state.detail = reasons_as_text(explain(shard, item))
@@ -241,28 +266,29 @@
     def _release(self, released):
         shard = self._owner.get(released.shard)
         if shard is not None and shard.epoch == released.epoch:
-            shard.desk.release(
+            shard.slot_allocator.release(
                 released.grant_id, released.outcome, released.run_microseconds / 1e6
             )
 
-    def _expire(self):
-        # Cleared before the look: what queues meanwhile sets it again.
+    def _expire_waiting(self):
+        # Cleared before the queues are checked, so that a request that is queued
+        # during the check sets the event again.
         self._process.clock.wait(self._has_queued, _IDLE_SECONDS)
         self._has_queued.clear()
         for shard in self.shards:
-            shard.desk.expire()
-            if any(load.waiting for load in shard.desk.loads()):
+            shard.slot_allocator.expire()
+            if any(load.waiting for load in shard.slot_allocator.loads()):
                 self._has_queued.set()
 
     def _answer_overdue(self):
-        self._process.clock.wait(self._work.has_waiters, _IDLE_SECONDS)
-        self._work.answer_overdue()
+        self._process.clock.wait(self._dispatcher.has_waiters, _IDLE_SECONDS)
+        self._dispatcher.answer_overdue()
 
     def _renew(self):
         for shard in self.shards:
             self._jobs.renew(shard)
 
-    def _runner(self, item):
+    def _runner_of(self, item):
         return self._jobs if item.accepted.work == _JOB else self._requests
 
     def _summaries(self):
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -1,4 +1,4 @@
-"""Take over shards: claim, fence, count what runs, then serve."""
+"""Load the work of a shard, fence its hosts and count the work they run."""
 
 from papayapick.clients import PlatformError, StaleEpoch
 from papayapick.clients.hosts import WORKER
@@ -7,7 +7,7 @@
 from papayapick.observability import get_logger
 from papayapick.placer.listing import HostListing
 
-__all__ = ["HostKeeper", "load_work"]
+__all__ = ["HostReconciler", "load_work"]
 
 _LOG = get_logger(__name__)
 
@@ -17,12 +17,12 @@
     shard.use_journal(read_journal(table, objects, shard.name))
 
 
-class HostKeeper:
-    """Keep the hosts of owned shards in step with the list and the hosts' word.
+class HostReconciler:
+    """Reconcile the hosts of shards with the host list and the hosts' reports.
 
     A host is opened only after it has been fenced at the shard's epoch and has
-    told what runs there: an earlier owner's work would otherwise be missing
-    from the ledger, and the host given more than it holds.
+    reported what it runs. Otherwise the work of a former owner would be missing
+    from the ledger and the host would be overloaded.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
         self._listing = listing or HostListing()
 
     def refresh(self, shard, entries, shards_per_zone):
-        """Add, open and close hosts of a shard after a look at the list.
+        """Add, open and close the hosts of a shard according to the host list.
 
         Parameters
         ----------
@@ -49,51 +49,53 @@
         entries : list of HostEntry
         shards_per_zone : int
         """
-        to_fence = []
-        listed = self.note(shard, entries, shards_per_zone)
+        to_open = []
+        listed = self.add_listed(shard, entries, shards_per_zone)
         self._close_unlisted(shard, listed)
         for entry in listed:
             if entry.is_live and not self._is_open(shard, entry):
-                to_fence.append(entry)
+                to_open.append(entry)
             elif not entry.is_live:
                 self._close(shard, entry)
-        futures = [
-            self._executor.submit(self._open, shard, entry) for entry in to_fence
-        ]
+        futures = [self._executor.submit(self._open, shard, entry) for entry in to_open]
         for future in futures:
             future.result()
 
-    def note(self, shard, entries, shards_per_zone):
-        """Add the hosts of a shard, closed, and return their entries.
+    def add_listed(self, shard, entries, shards_per_zone):
+        """Add the listed hosts of a shard, closed to work.
 
-        Done before the shard is served: a request for a service whose hosts
-        are still to be opened waits, and is not told that there are none.
+        Called before the shard is served. A request for a service whose hosts
+        are not open yet then waits and is not refused with ``ServiceUnknown``.
+
+        Returns
+        -------
+        list of HostEntry
         """
-        found = self._listing.of_shard(shard.name, entries, shards_per_zone)
-        for entry in found:
-            self._note(shard, entry)
-        return found
-
-    def reconcile(self, shard):
-        """Ask backend servers about grants past their upper bound."""
-        for instance in shard.desk.doubtful():
+        listed = self._listing.of_shard(shard.name, entries, shards_per_zone)
+        for entry in listed:
+            self._add(shard, entry)
+        return listed
+
+    def reconcile_grants(self, shard):
+        """Query the backend servers about the grants whose end is in doubt."""
+        for instance in shard.slot_allocator.in_doubt_instances():
             entry = shard.entries[instance]
             try:
                 running = self._instances.running(entry.url, shard.epoch)
             except PlatformError:
                 continue
-            shard.desk.reconcile(instance, running)
+            shard.slot_allocator.reconcile(instance, running)
 
     def _close_unlisted(self, shard, listed):
-        # A host that went without a word is dropped from the list; what was
-        # reserved there stays reserved until there is proof of its end.
+        # A host that disappeared without announcing it is dropped from the list.
+        # Its reservations stay until there is proof that the work has ended.
         names = {entry.name for entry in listed}
         for name, entry in list(shard.entries.items()):
             if name not in names:
                 self._close(shard, entry)
 
     @staticmethod
-    def _note(shard, entry):
+    def _add(shard, entry):
         if entry.kind == WORKER:
             shard.add_worker(entry)
         else:
@@ -103,14 +105,16 @@
     def _is_open(shard, entry):
         if entry.kind == WORKER:
             return shard.hosts.is_open(entry.name)
-        return shard.desk.with_ledger(lambda ledger: ledger.is_open(entry.name))
+        return shard.slot_allocator.with_ledger(
+            lambda ledger: ledger.is_open(entry.name)
+        )
 
     @staticmethod
     def _close(shard, entry):
         if entry.kind == WORKER:
             shard.hosts.close(entry.name)
         else:
-            shard.desk.with_ledger(lambda ledger: ledger.close(entry.name))
+            shard.slot_allocator.with_ledger(lambda ledger: ledger.close(entry.name))
 
     def _open(self, shard, entry):
         try:
@@ -119,10 +123,10 @@
             else:
                 self._open_instance(shard, entry)
         except StaleEpoch:
-            _LOG.warning("a newer owner fenced the host", extra={"host": entry.name})
+            _LOG.warning("host was fenced by a newer owner", extra={"host": entry.name})
         except PlatformError as error:
-            # Unreachable counts as full; the next look tries again.
-            _LOG.info("host stays closed", extra={"error": str(error)})
+            # The host stays closed to work; the next refresh tries again.
+            _LOG.info("host not opened", extra={"error": str(error)})
 
     def _open_worker(self, shard, entry):
         reports = self._workers.fence(entry, shard.epoch)
@@ -134,6 +138,6 @@
 
     def _open_instance(self, shard, entry):
         running = self._instances.running(entry.url, shard.epoch, must_stay=True)
-        shard.desk.restore(entry.name, running)
-        shard.desk.with_ledger(lambda ledger: ledger.open(entry.name))
-        shard.desk.serve_waiting()
+        shard.slot_allocator.restore(entry.name, running)
+        shard.slot_allocator.with_ledger(lambda ledger: ledger.open(entry.name))
+        shard.slot_allocator.serve_waiting()
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -83,7 +83,7 @@
     def _tick_link(self, link, now):
         owner = self._owner
         if link.is_silent and now > max(link.lapse_at, self._lapse_floor(link)):
-            owner.lists.lose_runs(link, "lease over")
+            owner.lists.mark_runs_lost(link, "lease over")
             if not link.is_listed and owner.settling.is_settled:
                 owner.sources.drop_link(link)
             return
@@ -92,7 +92,7 @@
 
     def _lapse_floor(self, link):
         # What an earlier owner started there is under a lease that it gave.
-        return 0.0 if link.is_inventoried else self._owner.taken_at + QUIET_SECONDS
+        return 0.0 if link.has_reported else self._owner.taken_at + QUIET_SECONDS
 
     def _tick_run(self, link, run, now):
         if run.phase == RunPhase.UNSURE:
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -209,7 +209,7 @@
             may_send = is_wanted and owner.may_act()
             # The record took longer than the ticket lasts.
             may_send = may_send and owner.now() < start.usable_until
-            lease_end = link.lease_end() if may_send else None
+            lease_end = link.grant_lease() if may_send else None
             if lease_end is not None:
                 run.note_sent(owner.now())
         if lease_end is None:
@@ -264,7 +264,7 @@
         if run.phase == RunPhase.STOPPING and not run.was_listed:
             # It may never have started; then no end is listed for it, and only a
             # list asked for from now on shows that its room is free.
-            link.look_again()
+            link.refresh()
 
     @_logged
     def _pace(self, link, run, percent):
--- /dev/null
+++ b/papayapick/pool/status_feed.py
@@ -0,0 +1,125 @@
+"""Give the job statuses and queue backlogs of a pool that callers may see."""
+
+import collections
+import math
+
+from papayapick.jobs.state import JobStatus
+from papayapick.placement.timeliness import useful_seconds
+
+__all__ = ["StatusFeed"]
+
+# Well below the two seconds that a number may be old when a caller reads it.
+_COUNT_INTERVAL_SECONDS = 0.1
+
+
+class StatusFeed:
+    """Read statuses and backlogs from an owner's book for hosts that answer callers.
+
+    Parameters
+    ----------
+    owner : PoolOwner
+    """
+
+    __slots__ = ("_backlogs", "_counted_at", "_known_at", "_owner")
+
+    def __init__(self, owner):
+        self._owner = owner
+        self._backlogs = {}
+        self._counted_at = float("-inf")
+        self._known_at = None
+
+    @property
+    def known_at(self):
+        """Return the monotonic time as of which the last count is true, or None.
+
+        Read it together with ``backlogs``, under the owner's lock.
+        """
+        return self._known_at
+
+    def take_changes(self):
+        """Return the visible status of each job that changed since the last call.
+
+        Returns
+        -------
+        dict of str to str
+            By job id.
+        """
+        with self._owner.lock:
+            changed, self._owner.book.status_changes = (
+                self._owner.book.status_changes,
+                set(),
+            )
+            jobs = [self._owner.book.get(identifier) for identifier in changed]
+            return {
+                job.identifier: _visible_status(job) for job in jobs if job is not None
+            }
+
+    def all_states(self):
+        """Return the visible status of each job, by job id."""
+        with self._owner.lock:
+            return {
+                job.identifier: _visible_status(job) for job in self._owner.book.jobs()
+            }
+
+    def backlogs(self):
+        """Return the backlog of each queue with jobs that have not started.
+
+        Each count goes over all live jobs, so it is repeated only a few times a second,
+        however many hosts read it.
+
+        Returns
+        -------
+        dict of str to QueueBacklog
+            By queue name.
+        """
+        with self._owner.lock:
+            now = self._owner.now()
+            if now - self._counted_at >= _COUNT_INTERVAL_SECONDS:
+                self._counted_at = now
+                self._backlogs = self._count_backlogs(now)
+                self._known_at = self._compute_known_at()
+            return self._backlogs
+
+    def _compute_known_at(self):
+        """Return the time as of which the book's waiting jobs are complete, or None.
+
+        An owner whose feed of jobs gets no answers counts too few jobs. An owner that
+        was replaced without knowing it counts jobs that its successor has started. An
+        owner that took over without complete records counts jobs that may be running on
+        a worker that has not reported yet.
+        """
+        owner = self._owner
+        if not (owner.has_read_state and owner.settling.knows_starts):
+            return None
+        known_at = min(owner.sources.complete_at, owner.standing.confirmed_at)
+        return None if math.isinf(known_at) else known_at
+
+    def _count_backlogs(self, now):
+        counts, ready = collections.Counter(), collections.Counter()
+        useful = collections.Counter()
+        for job in self._owner.book.live_jobs():
+            if job.status == JobStatus.WAITING:
+                queue = job.document.queue
+                counts[queue] += 1
+                useful[queue] += useful_seconds(job)
+                # A job that waits for its due time adds no load yet.
+                ready[queue] += not job.document.is_timed
+        gauge = self._owner.decisions.backlog
+        backlogs = {}
+        for queue, count in counts.items():
+            backlog = gauge.backlog(queue, ready[queue], now, useful[queue] / count)
+            backlog.waiting = count
+            backlogs[queue] = backlog
+        return backlogs
+
+
+def _visible_status(job):
+    """Return the status that callers may see; a final one only once it is durable.
+
+    A final status shown during an outage of the store could be revoked: if all hosts
+    lose power and the worker that listed the end is replaced, no trace of the end is
+    left and the job runs again. Callers wait until the store is available instead.
+    """
+    if job.status in JobStatus.FINAL and job.durable_status != job.status:
+        return JobStatus.RUNNING
+    return job.status
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -26,8 +26,8 @@
 from papayapick.placer.owners import ShardOwner
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.runners import WorkLoop
-from papayapick.placer.takeover import HostKeeper
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.takeover import HostReconciler
+from papayapick.placer.work import WorkDispatcher
 from papayapick.routing import Grant, NoRoute
 from papayapick.wire.messages import SlotRequest, Submit
 from tests.fakes.pool import InProcessPool
@@ -140,11 +140,11 @@
         )
         if shard.is_closed:
             raise NoRoute(service=policy.name)
-        granted = shard.desk.request(wanted, 0)
+        granted = shard.slot_allocator.request(wanted, 0)
         return Grant(granted, None, self._life.clock.monotonic() + 1e6)
 
     def release(self, grant, outcome, seconds):
-        self._life.shard.desk.release(grant.granted.grant_id)
+        self._life.shard.slot_allocator.release(grant.granted.grant_id)
 
 
 class Cell:
@@ -197,10 +197,10 @@
             watcher=SimpleNamespace(bundle=cell.bundle, sequence=1),
         )
         self.instances = instances = InstanceClient(self.pool)
-        self.keeper = keeper = HostKeeper(
+        self.keeper = keeper = HostReconciler(
             WorkerClient(self.pool), instances, process.executor
         )
-        self.desk = WorkDesk(process)
+        self.desk = WorkDispatcher(process)
         slots = DeskSlots(self)
         self.runner = RequestRunner(process, slots, instances, self.desk)
         self.loop = WorkLoop(process, self.desk, lambda item: self.runner)
@@ -215,7 +215,7 @@
         self.pool.operations.clear()
         self.pool.is_armed = False
         self._armed = faults
-        self.shard = self.owner.take(row)
+        self.shard = self.owner.take_over(row)
 
     def refresh(self):
         """Look at the hosts again, as the placer does at each poll."""
@@ -338,4 +338,4 @@
 
     def _left(self, shard):
         self._closed.append(shard)
-        self.desk.leave(shard)
+        self.desk.fail_shard_waiters(shard)
--- a/tests/placer/jobcells.py
+++ b/tests/placer/jobcells.py
@@ -1,4 +1,4 @@
-"""One shard with workers in memory, driven step by step with a manual clock."""
+"""A shard with in-memory workers, driven step by step with a manual clock."""
 
 import base64
 import json
@@ -16,7 +16,7 @@
 from papayapick.ownership.queries import ShardRow
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.shards import Shard
-from papayapick.placer.work import WorkDesk
+from papayapick.placer.work import WorkDispatcher
 from papayapick.wire.messages import Submit
 from tests.standins import MemoryObjects, MemoryTable, WorkersStandin
 
@@ -29,6 +29,8 @@
 
 
 class InlineExecutor:
+    """Run each call at once in the calling thread."""
+
     def submit(self, call, *arguments):
         done = Future()
         done.set_result(call(*arguments))
@@ -36,7 +38,10 @@
 
 
 class WorkersPool:
-    """Carry calls of the real worker client to the stand-in, or cut them."""
+    """Pass calls of the real worker client to the stand-in.
+
+    Workers named in ``cut`` can't be reached.
+    """
 
     def __init__(self, workers):
         self.workers = workers
@@ -46,8 +51,8 @@
         name, _, path = url.rpartition("/")
         if name in self.cut:
             raise WorkerUnreachable(worker=name)
-        status, found = self.workers.call(name, path, json.loads(data))
-        return HttpAnswer(status, {}, json.dumps(found).encode())
+        status, result = self.workers.call(name, path, json.loads(data))
+        return HttpAnswer(status, {}, json.dumps(result).encode())
 
 
 class JobCell:
@@ -79,9 +84,9 @@
             table=self.table,
             watcher=SimpleNamespace(bundle=bundle),
         )
-        self.desk = WorkDesk(self.process)
+        self.dispatcher = WorkDispatcher(self.process)
         self.client = WorkerClient(self.pool)
-        self.runner = JobRunner(self.process, self.client, self.desk)
+        self.runner = JobRunner(self.process, self.client, self.dispatcher)
         row = ShardRow("zone-a.0", "host-1", 1, 1)
         self.table.rows[row.key] = Row(row.key, {}, 1)
         bucket = TokenBucket(1e9, 1e9, self.clock)
@@ -98,7 +103,7 @@
     def submit(self, name, kind="batch", members=1, work=None, timeout=86400, **demand):
         job = {"members": members, "demand": demand, "work": work or {}}
         body = json.dumps(job)
-        wanted = Submit(
+        submission = Submit(
             shard=self.shard.name,
             request_id=name,
             kind="job",
@@ -111,13 +116,13 @@
             job=body,
         )
         policy = self.process.watcher.bundle.jobs[kind]
-        return self.desk.submit(self.shard, wanted, policy).result()
+        return self.dispatcher.submit(self.shard, submission, policy).result()
 
     def step(self, seconds=0.5):
-        """Let time pass, then do what the placer's loops do."""
+        """Advance the clock, then run the placer's loops once."""
         self.clock.advance(seconds)
-        while (found := self.desk.take(0)) is not None:
-            self.runner.run(*found)
+        while (due := self.dispatcher.take(0)) is not None:
+            self.runner.run(*due)
         self.runner.renew(self.shard)
 
     def run_for(self, seconds):
@@ -128,20 +133,20 @@
         return self.shard.book.get(name)
 
     def ended(self, name):
-        found = self.item(name).ended
-        return (found.outcome, found.detail) if found else None
+        ended = self.item(name).ended
+        return (ended.outcome, ended.detail) if ended else None
 
     def running(self):
-        """Return the workers on which each job's tasks run."""
-        found = {}
+        """Return the workers of the running tasks by job."""
+        by_job = {}
         for worker, tasks in self.workers.running().items():
             for task in tasks:
-                found.setdefault(task.split(".")[0], []).append(worker)
-        return found
+                by_job.setdefault(task.split(".")[0], []).append(worker)
+        return by_job
 
 
 class WritingJournal(Journal):
-    """Write each record at once, in the calling thread."""
+    """Write each record synchronously in the calling thread."""
 
     __slots__ = ()
 
