--- a/papayapick/quotas/__init__.py
+++ b/papayapick/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Share the room of a cell among teams, with borrowing that is given back."""
+"""Quotas, which divide the capacity of a cell among teams and allow borrowing."""
 
 from papayapick.quotas.queries import fairness_index
 from papayapick.quotas.shares import QuotaTracker
--- a/papayapick/quotas/shares.py
+++ b/papayapick/quotas/shares.py
@@ -1,4 +1,4 @@
-"""Count what the teams use of their quotas in one shard."""
+"""Usage of the teams' quotas in one shard."""
 
 import math
 
@@ -6,15 +6,15 @@
 
 __all__ = ["QuotaTracker"]
 
-_NOTHING = Amounts()
+_ZERO = Amounts()
 
 
 class QuotaTracker:
-    """Tell whose work is within its team's quota and whose borrows.
+    """Track the usage of each team, to decide whether work borrows beyond its quota.
 
-    A shard enforces its share of each quota, as jobs are spread evenly over the
-    shards by their ids. Work without a team, or of a team that the bundle does not
-    name, has no quota and never borrows.
+    A shard enforces its share of each quota, as jobs are spread evenly over the shards
+    by their identifiers. Work without a team, or of a team that is not in the bundle,
+    has no quota and never borrows.
 
     Examples
     --------
@@ -36,40 +36,42 @@
 
     @property
     def has_quotas(self):
-        """Return whether the bundle names any team."""
+        """Return whether the bundle sets a quota for any team."""
         return bool(self._quotas)
 
     def set_quotas(self, digest, teams, shards):
-        """Take the quotas of a bundle.
+        """Set the quotas from a bundle.
 
         Parameters
         ----------
         digest : str
-            Of the bundle; the same one again changes nothing.
+            Digest of the bundle. A call with the present digest has no effect.
         teams : dict of str to dict
-            Amounts by team; what is missing is not limited.
+            Amounts by team; a missing amount is not limited.
         shards : int
-            Among which each quota is divided.
+            Number of shards among which each quota is divided.
         """
         if digest == self._digest:
             return
         self._digest = digest
-        self._quotas = {name: _share(found, shards) for name, found in teams.items()}
+        self._quotas = {
+            name: _quota_of_shard(amounts, shards) for name, amounts in teams.items()
+        }
 
     def add_usage(self, team, demand, members):
-        """Count a job that holds room."""
+        """Add the reserved amounts of a job to the usage of its team."""
         self._add(team, demand, members)
 
     def remove_usage(self, team, demand, members):
-        """Count a job no longer."""
+        """Subtract the amounts of a job from the usage of its team."""
         self._add(team, demand, -members)
 
     def used(self, team):
-        """Return what a team's jobs hold."""
-        return self._used.get(team, _NOTHING)
+        """Return the amounts that a team's jobs have reserved."""
+        return self._used.get(team, _ZERO)
 
     def would_borrow(self, team, demand, members):
-        """Return whether so many members more would be over the quota."""
+        """Return whether further members would exceed the team's quota."""
         quota = self._quotas.get(team)
         if quota is None:
             return False
@@ -80,34 +82,39 @@
             or used.accelerators + demand.accelerators * members > quota[2]
         )
 
-    def is_over_quota(self, team, returned=_NOTHING):
-        """Return whether a team holds more than its quota.
+    def is_over_quota(self, team, returned=_ZERO):
+        """Return whether the usage of a team exceeds its quota.
 
         Parameters
         ----------
         team : str
         returned : Amounts
-            What it gives back already.
+            Part of the usage that is about to be released.
         """
-        return self.would_borrow(team, _NOTHING - returned, 1)
+        return self.would_borrow(team, _ZERO - returned, 1)
 
     def ratio(self, team, planned=0):
-        """Return what a team uses of its quota, by its most used amount.
+        """Return the usage of a team relative to its quota, by its dominant resource.
 
         Parameters
         ----------
         team : str
         planned : int
-            Processors about to be added, in millicores.
+            Processors that are about to be added, in millicores.
+
+        Returns
+        -------
+        float
+            0 if the team has no quota.
         """
         quota = self._quotas.get(team)
         if quota is None:
             return 0.0
         used = self.used(team)
         return max(
-            _part(used.processors + planned, quota[0]),
-            _part(used.memory, quota[1]),
-            _part(used.accelerators, quota[2]),
+            _ratio(used.processors + planned, quota[0]),
+            _ratio(used.memory, quota[1]),
+            _ratio(used.accelerators, quota[2]),
         )
 
     def _add(self, team, demand, members):
@@ -119,14 +126,14 @@
         )
 
 
-def _share(found, shards):
+def _quota_of_shard(amounts, shards):
     return tuple(
-        found[name] / shards if name in found else math.inf
+        amounts[name] / shards if name in amounts else math.inf
         for name in ("processors", "memory", "accelerators")
     )
 
 
-def _part(used, quota):
+def _ratio(used, quota):
     if not used:
         return 0.0
     return used / quota if quota else math.inf
--- a/tests/quotas/test_shares.py
+++ b/tests/quotas/test_shares.py
@@ -1,4 +1,4 @@
-"""Teams get their quota, borrow what idles, and give it back."""
+"""Tests of quotas: teams get their quota, borrow idle room and return it."""
 
 import pytest
 
@@ -38,19 +38,19 @@
     return sorted(start.job.team for start in starts)
 
 
-def test_a_team_that_came_first_does_not_take_another_teams_quota():
-    """A team waits for hours as another lodged hundreds of jobs before it."""
+def test_team_that_submits_first_does_not_use_another_teams_quota():
+    """Guard against a team that waits for hours behind another team's earlier jobs."""
     queue = queue_of(4, first=2, second=2)
     add(queue, "first", 10)
     add(queue, "second", 2, arrival=1.0)
     assert teams_of(queue.choose_starts(2.0)) == ["first"] * 2 + ["second"] * 2
 
 
-def test_what_one_team_leaves_another_borrows_and_gives_back():
-    """Half of the cell idles at night, or its owner can't get it back by day.
+def test_unused_quota_is_borrowed_and_returned():
+    """Guard against an idle half of a cell, and against room that is not returned.
 
-    The borrower's jobs run for hours; they are checkpointed once the owner has
-    waited for a minute.
+    The borrower's jobs run for hours. They are paused once the team that is entitled to
+    the room has waited for a minute.
     """
     queue = queue_of(4, first=2, second=2)
     add(queue, "first", 10, can_pause=True)
@@ -67,7 +67,7 @@
     assert queue.choose_pauses(400.0) == []
 
 
-def test_what_is_left_goes_to_the_team_that_borrows_least():
+def test_remaining_room_goes_to_the_team_that_borrows_least():
     queue = queue_of(8, small=1, large=4)
     add(queue, "small", 8)
     add(queue, "large", 8)
@@ -82,8 +82,8 @@
     assert teams_of(queue.choose_starts(0.0)) == ["", "listed"]
 
 
-def test_an_urgent_job_over_its_quota_pauses_nobody():
-    """A team marks all its jobs urgent and takes the whole cell."""
+def test_urgent_job_beyond_its_quota_pauses_no_other():
+    """Guard against a team that takes the whole cell by marking all jobs as urgent."""
     queue = queue_of(2, greedy=0, modest=2)
     add(queue, "modest", 2, can_pause=True)
     queue.choose_starts(0.0)
@@ -101,14 +101,14 @@
         ({"processors": 9000, "accelerators": 0}, Amounts(0, 0, 1), True),
     ],
 )
-def test_each_amount_has_its_quota(amounts, used, expected):
+def test_each_resource_has_its_own_quota(amounts, used, expected):
     tracker = QuotaTracker()
     tracker.set_quotas("digest", {"team": amounts}, 1)
     tracker.add_usage("team", used, 1)
     assert tracker.is_over_quota("team") is expected
 
 
-def test_a_new_bundle_changes_the_quotas_and_keeps_what_is_used():
+def test_new_bundle_changes_the_quotas_and_keeps_the_usage():
     tracker = QuotaTracker()
     tracker.set_quotas("old", {"team": {"processors": 1000}}, 1)
     tracker.add_usage("team", Amounts(1000), 2)
