--- a/papayapick/jobs/ends.py
+++ b/papayapick/jobs/outcomes.py
@@ -1,75 +1,79 @@
-"""Decide what the end of a run means for its task, step, gang and job."""
+"""Apply the outcome of a run to its task, step, gang and job."""
 
 from papayapick.jobs.state import JobStatus
 
-__all__ = ["Ends"]
+__all__ = ["OutcomeHandler"]
 
 _DONE = "done"
 _FAILED = "failed"
 
 
-class Ends:
-    """Take in ends and starts that did not come about.
+class OutcomeHandler:
+    """Update the job registry after a run has ended or has failed to start.
 
     Parameters
     ----------
-    book : JobBook
-        Its caller holds the lock.
+    registry : JobRegistry
+        The caller of each method holds the pool's lock.
     """
 
-    __slots__ = ("_book",)
+    __slots__ = ("_registry",)
 
-    def __init__(self, book):
-        self._book = book
+    def __init__(self, registry):
+        self._registry = registry
 
     def drop(self, run, now):
-        """Take back a run that did not start and can't start any more."""
-        self._book.release(run)
-        step = self._book.step(run.key)
+        """Remove a run that did not start and can no longer start."""
+        self._registry.remove_run(run)
+        step = self._registry.step(run.key)
         if step is None or step.job.is_final:
             return
         task = step.tasks[run.key.index]
         if task.is_done:
-            # Its first run, or another member of its gang, ended as done while this
-            # order was on its way: placed again, it would run a second time.
+            # The first copy, or another member of the gang, ended as done before this
+            # order was carried out. Queued again, the task would run twice.
             return
         if step.step.is_gang:
             self._break_gang(step, now)
         elif not task.runs:
-            # With a copy dropped, the first run may be at work.
-            self._book.wait_again(step, run.key.index)
+            # If only a second copy is dropped, the first run is still active.
+            self._registry.requeue_task(step, run.key.index)
 
     def end(self, key, attempt, outcome, checkpoint, worker, now):
-        """Take note of the end of a run.
+        """Handle the outcome of a run, which may be reported more than once.
 
         Parameters
         ----------
         key : TaskKey
         attempt : int
+            Number of the start that led to the run.
         outcome : str
             One of ``EndOutcome``.
         checkpoint : str
+            Last checkpoint of the run; empty for none.
         worker : str
         now : float
+            Monotonic seconds.
         """
-        step = self._book.step(key)
+        step = self._registry.step(key)
         if step is None:
             return
         task = step.tasks[key.index]
-        # A start may be known from its end only: its number is not used again.
+        # The start may be known from this outcome only: its number must not be reused.
         task.attempt = max(task.attempt, attempt)
         ended = [run for run in task.runs if run.name == (key, attempt)]
         for run in ended:
-            self._book.release(run)
+            self._registry.remove_run(run)
         if step.job.is_final or task.is_done:
             return
-        self._book.changed.add(step.job.identifier)
+        self._registry.changed.add(step.job.identifier)
         if checkpoint:
             task.checkpoint = checkpoint
         if outcome == _DONE and not step.step.is_lasting:
             for run in ended:
-                # One that was taken over, or went on from saved progress, took longer
-                # than this owner saw: sound runs beside it would seem slow.
+                # A run that was adopted, or resumed from a checkpoint, took longer than
+                # this owner has observed. Its short duration would make normal runs of
+                # the step look slow.
                 if not run.is_resumed:
                     step.note_done_run(run.worked_seconds(now))
             self._note_done(step, key.index, attempt, now)
@@ -82,31 +86,33 @@
             if not self._is_of_earlier_run(step, attempt):
                 self._break_gang(step, now)
         elif not task.runs:
-            self._book.wait_again(step, key.index)
+            self._registry.requeue_task(step, key.index)
 
     @staticmethod
     def _is_of_earlier_run(step, attempt):
-        """Return whether a gang is at work that was started after a run of it.
+        """Return whether all active members of a gang were started after an attempt.
 
-        An end may come long after its run was given up, as its worker is back, and a
-        list that was overtaken shows a run once more. It says nothing of the members at
-        work, which would all be stopped, and lose what they have done.
+        An outcome may arrive long after its run was given up, when its worker becomes
+        reachable again, or in an outdated list of a worker. Such an outcome does not
+        concern the active members. If it broke the gang, all of them would be stopped
+        and their work would be lost.
         """
         active = step.active_runs()
         return bool(active) and all(run.attempt > attempt for run in active)
 
-    def settle_gang(self, step, now):
-        """Stop a gang that is at work without all of its members.
+    def stop_partial_gang(self, step, now):
+        """Stop the active members of a gang that is not running completely.
 
-        The owner before may have died between the orders of one gang, or an order was
-        carried out late. Its members would wait for the others until their time is
-        over, and hold room, and the gang is not started without them.
+        This happens if the previous owner failed between the orders for the members, or
+        if an order was carried out late. The active members would hold their room and
+        wait for the others until they time out, and the gang could not be started
+        meanwhile.
         """
         if not step.step.is_gang or step.job.is_final:
             return
         if step.waiting and step.active_runs():
             step.waiting.clear()
-            self._book.close_step(step)
+            self._registry.dequeue_step(step)
             self._break_gang(step, now)
 
     def _note_done(self, step, index, attempt, now):
@@ -116,17 +122,18 @@
             if task.is_done:
                 continue
             task.is_done = True
-            step.left -= 1
+            step.unfinished_tasks -= 1
             step.waiting.discard(number)
-            # The members of a gang end together. Copies must be told to, and so must
-            # a gang that was started again before this end came.
-            self._book.to_stop += [
+            # The members of a gang end by themselves with the first that is done.
+            # Copies of a task must be stopped, and so must the members of a later start
+            # of the gang.
+            self._registry.to_stop += [
                 run
                 for run in task.runs
                 if run.attempt != attempt or not step.step.is_gang
             ]
         if not step.waiting:
-            self._book.close_step(step)
+            self._registry.dequeue_step(step)
         if step.is_done:
             self._note_step_done(step, now)
 
@@ -134,14 +141,14 @@
         job = step.job
         occurrence = step.key.occurrence
         if all(one.is_done for one in job.occurrences[occurrence]):
-            job.over.add(occurrence)
-            if len(job.over) >= max(1, job.document.occurrences):
-                self._book.finish(job, JobStatus.COMPLETED, now)
+            job.finished_occurrences.add(occurrence)
+            if len(job.finished_occurrences) >= max(1, job.document.occurrences):
+                self._registry.finish(job, JobStatus.COMPLETED, now)
             elif job.document.is_timed:
-                # Steps of an occurrence that is over are not asked for again.
+                # The state of a finished occurrence is not needed any more.
                 job.occurrences.pop(occurrence)
             return
-        self._book.open_ready(job, occurrence, now)
+        self._registry.enqueue_ready_steps(job, occurrence, now)
 
     def _note_failure(self, step, key, attempt, worker, now):
         task = step.tasks[key.index]
@@ -152,20 +159,20 @@
             return
         if counted.failures >= step.job.queue.failure_limit:
             step.job.failed_task, step.job.failed_worker = key, worker
-            self._book.finish(step.job, JobStatus.FAILED, now)
+            self._registry.finish(step.job, JobStatus.FAILED, now)
 
     def _break_gang(self, step, now):
         step.is_gang_broken = True
         active = step.active_runs()
-        self._book.to_stop += [run for run in active if run.stop_requested is None]
+        self._registry.to_stop += [run for run in active if run.stop_requested is None]
         if active:
             return
         step.is_gang_broken = False
-        # Progress saved by any member is valid for all, and all must carry the
-        # same.
+        # A checkpoint saved by any member is valid for the whole gang, and all members
+        # must resume from the same one.
         checkpoint = max((task.checkpoint for task in step.tasks), default="")
         attempt = max(task.attempt for task in step.tasks)
         for index, task in enumerate(step.tasks):
             task.checkpoint = checkpoint
             task.attempt = attempt
-            self._book.wait_again(step, index)
+            self._registry.requeue_task(step, index)
--- a/papayapick/jobs/records.py
+++ b/papayapick/jobs/records.py
@@ -1,10 +1,10 @@
-"""Turn the progress of a job into a record for the store and back."""
+"""Convert the progress of a job to a record for the store and back."""
 
 __all__ = ["progress_record", "restore_progress"]
 
 
 def progress_record(job):
-    """Return what a successor must know of a job beside its document.
+    """Return the progress that the next owner needs in addition to the document.
 
     Parameters
     ----------
@@ -13,13 +13,13 @@
     Returns
     -------
     dict
-        JSON values; tasks without news are left out.
+        JSON values. Fields of tasks that have their initial value are omitted.
     """
     record = {"status": job.status}
     if job.is_final:
         return record
-    if job.over:
-        record["over"] = sorted(job.over)
+    if job.finished_occurrences:
+        record["over"] = sorted(job.finished_occurrences)
     record["occurrences"] = {
         str(number): [_step_record(step) for step in steps]
         for number, steps in job.occurrences.items()
@@ -33,13 +33,14 @@
     Parameters
     ----------
     job : JobState
-        Fresh from its document.
+        New state, without progress of its own.
     record : dict
+        As returned by ``progress_record``.
     """
     job.status = job.durable_status = record["status"]
     if job.is_final:
         return
-    job.over = set(record.get("over", ()))
+    job.finished_occurrences = set(record.get("over", ()))
     for number, steps in record.get("occurrences", {}).items():
         states = job.open_occurrence(int(number))
         for state, found in zip(states, steps, strict=True):
@@ -75,7 +76,7 @@
     for index, task in enumerate(step.tasks):
         if done >> index & 1:
             task.is_done = True
-            step.left -= 1
+            step.unfinished_tasks -= 1
     for index, attempt in record.get("attempts", {}).items():
         step.tasks[int(index)].attempt = attempt
     for index, place in record.get("places", {}).items():
--- a/papayapick/jobs/book.py
+++ b/papayapick/jobs/registry.py
@@ -1,60 +1,64 @@
-"""Keep the jobs of a pool: which steps are ready, and what each end means."""
+"""Registry of the jobs of a pool, with the tasks that wait for a worker."""
 
 from papayapick.jobs.documents import TaskKey
-from papayapick.jobs.ends import Ends
-from papayapick.jobs.held import HeldTasks
+from papayapick.jobs.held_tasks import HeldTasks
+from papayapick.jobs.outcomes import OutcomeHandler
 from papayapick.jobs.records import restore_progress
 from papayapick.jobs.runs import Run, RunPhase
 from papayapick.jobs.schedule import Schedule
 from papayapick.jobs.state import JobState, JobStatus
 
-__all__ = ["JobBook"]
+__all__ = ["JobRegistry"]
 
 
-class JobBook:
-    """Hold all jobs of one pool; its caller holds the lock.
+class JobRegistry:
+    """Hold all jobs of one pool.
+
+    The registry has no lock of its own: the caller holds the pool's lock during each
+    call.
 
     Attributes
     ----------
     changed : set of str
-        Jobs whose progress is to be journaled.
-    news : set of str
-        Jobs whose status has changed since it was last told.
+        Identifiers of jobs whose progress must be journaled.
+    status_changes : set of str
+        Identifiers of jobs whose status has changed since it was last published.
     to_stop : list of Run
-        Runs that nothing needs any more, for the caller to stop.
+        Runs that are no longer needed. The caller stops them and clears the list.
     """
 
     __slots__ = (
-        "_ends",
+        "_outcomes",
         "_held",
         "_jobs",
         "_live",
-        "_open_steps",
+        "_queued_steps",
         "_schedule",
         "changed",
-        "news",
+        "status_changes",
         "to_stop",
     )
 
     def __init__(self):
         self._jobs = {}
-        # Those that are not over: most jobs are, and are kept for two minutes only to
-        # answer callers. What is done ten times a second looks at the others only.
+        # Jobs without a final status. Most jobs have one: they are retained for two
+        # minutes to answer queries of callers. The decision round, which runs ten
+        # times a second, iterates over the live jobs only.
         self._live = {}
-        # Steps that are ready and have a task waiting, by key.
-        self._open_steps = {}
-        self._ends = Ends(self)
-        self._held = HeldTasks(self, self._ends)
+        # Ready steps with at least one waiting task, by StepKey.
+        self._queued_steps = {}
+        self._outcomes = OutcomeHandler(self)
+        self._held = HeldTasks(self, self._outcomes)
         self._schedule = Schedule()
         self.changed = set()
-        self.news = set()
+        self.status_changes = set()
         self.to_stop = []
 
     def __contains__(self, identifier):
         return identifier in self._jobs
 
     def get(self, identifier):
-        """Return the job of an id, or None."""
+        """Return the job with an identifier, or None."""
         return self._jobs.get(identifier)
 
     def jobs(self):
@@ -62,15 +66,15 @@
         return list(self._jobs.values())
 
     def live_jobs(self):
-        """Return the jobs that are not over, as a list."""
+        """Return the jobs without a final status, as a list."""
         return list(self._live.values())
 
     def waiting_steps(self):
-        """Return the ready steps that have a task to start, as a list."""
-        return list(self._open_steps.values())
+        """Return the ready steps with a task that waits for a worker, as a list."""
+        return list(self._queued_steps.values())
 
     def add(self, document, queue, now, record=None, age=0.0):
-        """Add a job that was accepted.
+        """Add an accepted job; return the existing state if it was added before.
 
         Parameters
         ----------
@@ -79,9 +83,10 @@
         now : float
             Monotonic seconds.
         record : dict, optional
-            Its progress under an earlier owner.
+            Progress that an earlier owner of the pool has stored, as returned by
+            ``progress_record``.
         age : float, optional
-            Seconds since it was accepted.
+            Seconds since the job was accepted.
 
         Returns
         -------
@@ -94,7 +99,7 @@
         self._jobs[document.identifier] = job
         if record is not None:
             restore_progress(job, record)
-        self.news.add(job.identifier)
+        self.status_changes.add(job.identifier)
         if job.is_final:
             job.finished_at = now
             return job
@@ -104,22 +109,22 @@
         elif not job.occurrences:
             job.open_occurrence(0)
         for number in list(job.occurrences):
-            self.open_ready(job, number, now)
+            self.enqueue_ready_steps(job, number, now)
         return job
 
     def open_due(self, wall_now, now):
-        """Open the occurrences whose time has come; see ``Schedule.open_due``."""
+        """Open the occurrences that are due; see ``Schedule.open_due``."""
         return self._schedule.open_due(
-            wall_now, lambda job, number: self.open_ready(job, number, now)
+            wall_now, lambda job, number: self.enqueue_ready_steps(job, number, now)
         )
 
     def cancel(self, identifier, now):
-        """Cancel a job; what runs of it is added to ``to_stop``.
+        """Cancel a job; its active runs are added to ``to_stop``.
 
         Returns
         -------
         bool
-            False where no such job is known.
+            False if the job is unknown.
         """
         job = self._jobs.get(identifier)
         if job is None:
@@ -128,13 +133,13 @@
             self.finish(job, JobStatus.CANCELLED, now)
         return True
 
-    def forget(self, identifier):
-        """Drop a job that is over."""
+    def remove(self, identifier):
+        """Remove a job that has a final status."""
         self._jobs.pop(identifier, None)
         self._live.pop(identifier, None)
 
     def begin(self, step, index, worker, now, attempt=None):
-        """Note that a task is about to be ordered on a worker.
+        """Add a run of a task whose start is about to be ordered on a worker.
 
         Parameters
         ----------
@@ -143,7 +148,8 @@
         worker : str
         now : float
         attempt : int, optional
-            Shared by the members of a gang.
+            Number of the start, shared by the members of a gang; by default the
+            number after the task's last.
 
         Returns
         -------
@@ -151,23 +157,23 @@
         """
         task = step.tasks[index]
         task.attempt = (task.attempt + 1) if attempt is None else attempt
-        # With a copy beside it, the first one's place stays on record: a successor
-        # may start a task that allows copies in any case.
+        # A second copy overwrites the place of the first run in the record. This is
+        # safe, since a successor may start another run of a task that allows copies.
         task.place = worker
         task.stuck_since = None
         run = Run.of_task(step, index, task.attempt, worker, RunPhase.ORDERED, now)
         run.is_resumed = bool(task.checkpoint)
         task.runs.append(run)
         step.waiting.discard(index)
-        # What was held for it is taken; a later hold has a time of its own.
+        # The run uses the room held for the step; a later hold gets its own time.
         step.held_on.pop(worker, None)
         if not step.waiting:
-            self.close_step(step)
+            self.dequeue_step(step)
         self.changed.add(step.job.identifier)
         return run
 
     def adopt(self, report, worker, now):
-        """Take over a run that a worker lists.
+        """Add a run that a worker lists and that this owner did not start.
 
         Parameters
         ----------
@@ -178,7 +184,7 @@
         Returns
         -------
         Run
-            One that nothing needs is added to ``to_stop``.
+            Also added to ``to_stop`` if it is not needed.
         """
         step = self.step(report.key)
         if step is None:
@@ -187,13 +193,13 @@
             return run
         index, attempt = report.key.index, report.attempt
         run = Run.of_task(step, index, attempt, worker, RunPhase.RUNNING, now)
-        # What it had done before this owner saw it is not known, nor how it was paced.
+        # Neither its progress before this owner first saw it nor its pace is known.
         run.is_resumed = True
         run.pace = None
         task = step.tasks[index]
         is_second = bool(task.runs) and not step.step.allows_copies
-        task.add_found(run)
-        # Its start may have left without a record.
+        task.adopt_run(run)
+        # Its start may not have been journaled.
         self.changed.add(step.job.identifier)
         self._note_running(step.job)
         if task.is_done or step.job.is_final or is_second:
@@ -201,12 +207,12 @@
         else:
             step.waiting.discard(index)
             if not step.waiting:
-                self.close_step(step)
-            self._ends.settle_gang(step, now)
+                self.dequeue_step(step)
+            self._outcomes.stop_partial_gang(step, now)
         return run
 
     def note_started(self, run):
-        """Note that a worker runs a task."""
+        """Mark a run as running after its worker has confirmed the start."""
         if run.phase in (RunPhase.ORDERED, RunPhase.UNSURE):
             run.phase = RunPhase.RUNNING
         step = self.step(run.key)
@@ -214,72 +220,73 @@
             self._note_running(step.job)
 
     def note_checkpoint(self, run):
-        """Keep the newest progress that a run has saved."""
+        """Store the latest checkpoint of a run in its task."""
         step = self.step(run.key)
         if step is not None and run.checkpoint:
             step.tasks[run.key.index].checkpoint = run.checkpoint
 
-    def hold(self, is_held):
-        """Keep back tasks that may run already under an earlier owner.
+    def hold_tasks(self, must_hold):
+        """Hold tasks that an earlier owner may have started already.
 
-        Those of steps that become ready meanwhile too, until ``let_all_go``: the
-        end that makes a step ready may be read before the list that shows what
-        runs of it.
+        Until ``release_all_tasks``, this covers steps that become ready later too: the
+        outcome that makes a step ready may be read before the worker's list that shows
+        a run of that step.
 
         Parameters
         ----------
-        is_held : callable
-            Takes a TaskState; returns whether its task is kept back.
+        must_hold : callable
+            Takes a TaskState and returns whether the task must not be started yet.
         """
-        self._held.begin(is_held, self._jobs)
+        self._held.activate(must_hold, self._jobs)
 
-    def let_go(self, is_clear, now):
-        """Let tasks wait for a worker that were kept back.
+    def release_tasks(self, may_release, now):
+        """Release held tasks, which then wait for a worker.
 
         Parameters
         ----------
-        is_clear : callable
-            Takes a TaskState; returns whether its task runs nowhere unseen.
+        may_release : callable
+            Takes a TaskState and returns whether no unknown run of it can exist.
         now : float
+            Monotonic seconds.
         """
-        self._held.let_go(is_clear, now)
+        self._held.release_tasks(may_release, now)
 
-    def let_all_go(self, now):
-        """Keep nothing back any more."""
-        self._held.end()
-        self.let_go(lambda task: True, now)
+    def release_all_tasks(self, now):
+        """Release all held tasks and hold no further ones."""
+        self._held.deactivate()
+        self.release_tasks(lambda task: True, now)
 
     @property
-    def has_held(self):
-        """Return whether any task is kept back."""
+    def has_held_tasks(self):
+        """Return whether any task is held."""
         return bool(self._held)
 
     def drop(self, run, now):
-        """Take back a run that did not start and can't start any more."""
-        self._ends.drop(run, now)
+        """Remove a run that did not start and can no longer start."""
+        self._outcomes.drop(run, now)
 
     def end(self, key, attempt, outcome, checkpoint, worker, now):
-        """Take note of the end of a run; see ``Ends.end``."""
-        self._ends.end(key, attempt, outcome, checkpoint, worker, now)
+        """Handle the outcome of a run; see ``OutcomeHandler.end``."""
+        self._outcomes.end(key, attempt, outcome, checkpoint, worker, now)
 
-    # For the modules beside this one.
+    # The methods below are for the other modules of this package.
 
     def finish(self, job, status, now):
-        """Give a job its final status; what runs of it is to be stopped."""
+        """Set the final status of a job and add its active runs to ``to_stop``."""
         job.status = status
         job.finished_at = now
         self._live.pop(job.identifier, None)
         self.changed.add(job.identifier)
-        self.news.add(job.identifier)
+        self.status_changes.add(job.identifier)
         self._schedule.remove(job)
         for step in job.steps():
             step.waiting.clear()
-            self.close_step(step)
+            self.dequeue_step(step)
             if status != JobStatus.COMPLETED or not step.step.is_gang:
                 self.to_stop += step.active_runs()
 
-    def open_ready(self, job, occurrence, now):
-        """Let the steps wait for workers whose earlier steps are done."""
+    def enqueue_ready_steps(self, job, occurrence, now):
+        """Queue the tasks of the steps whose earlier steps are done."""
         steps = job.occurrences[occurrence]
         for step in steps:
             if step.is_ready or step.is_done:
@@ -288,38 +295,42 @@
                 step.is_ready = True
                 step.ready_at = now
                 for index, task in enumerate(step.tasks):
-                    if not (task.is_done or task.runs or self._held.takes(step, index)):
-                        self.wait(step, index)
-
-    def wait_again(self, step, index):
-        """Let a task wait that runs nowhere any more, unless it is kept back."""
-        if not self._held.takes(step, index):
-            step.tasks[index].note_found()
-            self.wait(step, index)
-
-    def close_step(self, step):
-        """Take a step off those that wait for workers."""
+                    if not (
+                        task.is_done
+                        or task.runs
+                        or self._held.hold_if_required(step, index)
+                    ):
+                        self.enqueue_task(step, index)
+
+    def requeue_task(self, step, index):
+        """Queue a task that has no run any more, unless it is held."""
+        if not self._held.hold_if_required(step, index):
+            step.tasks[index].refresh_place()
+            self.enqueue_task(step, index)
+
+    def dequeue_step(self, step):
+        """Remove a step from those that wait for workers."""
         step.held_on.clear()
-        self._open_steps.pop(step.key, None)
+        self._queued_steps.pop(step.key, None)
 
-    def wait(self, step, index):
-        """Let a task wait for a worker, whatever is kept back."""
+    def enqueue_task(self, step, index):
+        """Queue a task for a worker without a check whether it is held."""
         step.waiting.add(index)
-        self._open_steps[step.key] = step
+        self._queued_steps[step.key] = step
 
     def _note_running(self, job):
         if job.status == JobStatus.WAITING:
             job.status = JobStatus.RUNNING
-            self.news.add(job.identifier)
+            self.status_changes.add(job.identifier)
 
-    def release(self, run):
-        """Forget a run that is at work no more."""
+    def remove_run(self, run):
+        """Remove a run that has ended or can no longer start."""
         step = self.step(run.key)
         if step is not None:
             step.tasks[run.key.index].remove(run)
 
     def step(self, key):
-        """Return the step of a task, or None where there is none."""
+        """Return the step of a task, or None if there is no such task."""
         job = self._jobs.get(key.job)
         if job is None:
             return None
@@ -330,5 +341,5 @@
         return step if key.index < len(step.tasks) else None
 
     def step_of(self, key):
-        """Return the step of a task or step, or None where it is over."""
+        """Return the step of a TaskKey or StepKey, or None if it is over."""
         return self.step(TaskKey(key.job, key.occurrence, key.step, 0))
--- a/papayapick/placement/pace.py
+++ b/papayapick/placement/pace.py
@@ -63,7 +63,7 @@
             # Read once, since answers to orders change it without the owner's lock.
             current = run.pace
             pace = _wanted_pace(current, load, is_serving)
-            is_repeated = is_repeat_due and run.has_lost_pace
+            is_repeated = is_repeat_due and run.is_pace_unconfirmed
             if pace is not None and (pace != current or is_repeated):
                 changes.append((run, pace))
         return changes
@@ -91,10 +91,10 @@
     covers a part of the period only. A low figure, or 0, is then ignored, since it
     would speed up fillers beside a task of unknown latency; a high figure is valid.
     """
-    if run.figure is None:
+    if run.measurement is None:
         return None
-    share = run.figure / 1000 / run.tail_limit
-    is_full_period = run.percent_at - run.moved_at >= _MEASURE_SECONDS
+    share = run.measurement / 1000 / run.tail_limit
+    is_full_period = run.percent_at - run.progressed_at >= _MEASURE_SECONDS
     return share if is_full_period or share > _SLOW_DOWN_SHARE else None
 
 
--- a/papayapick/placement/pauses.py
+++ b/papayapick/placement/pauses.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     ledger : HostLedger
-    quotas : QuotaBook
+    quotas : QuotaTracker
     claims : iterable of WaitingJob
         In the order of service. The search ends at the first for which pauses cannot
         make room.
@@ -128,7 +128,7 @@
         if run.job.name in self._paused:
             return False
         released = self._released_by_team.get(run.job.team, _NOTHING)
-        return job.is_urgent or self._quotas.is_over(run.job.team, released)
+        return job.is_urgent or self._quotas.is_over_quota(run.job.team, released)
 
     def _fits(self, name, free, demand):
         return demand.fits_in(self._ledger.usable(name, free, demand))
--- a/papayapick/placer/slots.py
+++ b/papayapick/placer/slots.py
@@ -261,7 +261,7 @@
             return None
         grant_id = next(self._grant_ids)
         try:
-            self._ledger.take(name, grant_id)
+            self._ledger.reserve(name, grant_id)
         except LedgerError:
             return None
         # The gateway may use the grant until its longest wait and the use window
@@ -285,7 +285,7 @@
         self._held.remove(grant_id)
         self._queue(held.service).note_end(now, now - held.granted_at)
         try:
-            self._ledger.give_back(grant_id)
+            self._ledger.release(grant_id)
         except ReservationUnknown:
             # The instance and its slots were removed while the call ran.
             return
--- a/papayapick/pool/journal.py
+++ b/papayapick/pool/journal.py
@@ -155,7 +155,7 @@
                 was_durable = job.durable_status == status
                 job.durable_status = status
                 if status in JobStatus.FINAL:
-                    owner.book.news.add(job.identifier)
+                    owner.book.status_changes.add(job.identifier)
                     if not was_durable:
                         self._log_job_end(job, status)
             for link, number, born in ends:
@@ -165,11 +165,13 @@
 
     def _log_job_end(self, job, status):
         failed = job.failed_task
-        COMPLETION_SECONDS.labels(status).observe(self._clock.monotonic() - job.arrived)
+        COMPLETION_SECONDS.labels(status).observe(
+            self._clock.monotonic() - job.arrived_at
+        )
         JOB_ENDED.write(
             request_id=job.identifier,
             status=status,
-            seconds=round(self._clock.monotonic() - job.arrived, 3),
+            seconds=round(self._clock.monotonic() - job.arrived_at, 3),
             deciding_step=failed and failed.step,
             deciding_task=failed and failed.index,
             deciding_worker=job.failed_worker,
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -146,7 +146,7 @@
                 return
             now = self._owner.now()
             if outcome == StartOutcome.STARTED:
-                run.answered_at = now
+                run.start_confirmed_at = now
                 self._owner.book.note_started(run)
             elif outcome == StartOutcome.UNKNOWN:
                 if run.phase == RunPhase.ORDERED:
@@ -275,7 +275,7 @@
             STOP_REFUSED.write(worker=link.worker, status=error.details["status"])
             return
         self.note_stop_confirmed(run)
-        if run.phase == RunPhase.STOPPING and not run.was_seen:
+        if run.phase == RunPhase.STOPPING and not run.was_listed:
             # The run may never have started. No end is reported for it then, and only
             # a report requested after the stop shows that its capacity is free.
             link.refresh()
@@ -286,7 +286,7 @@
             link.client.pace(run.key, run.attempt, percent, self._owner.row.epoch)
         except WorkerSilent as error:
             # The order may have been carried out, or may still be carried out later.
-            run.pace, run.has_lost_pace = None, True
+            run.pace, run.is_pace_unconfirmed = None, True
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
         except CheckFailed as error:
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -191,11 +191,11 @@
                 if run.phase == RunPhase.UNSURE:
                     START_FOUND.write(**run_fields(run))
                 self._owner.book.note_started(run)
-            run.was_seen, run.was_seen_again = True, run.was_seen
+            run.was_listed, run.was_listed_again = True, run.was_listed
             if run.percent != found.percent:
-                run.moved_at = now
+                run.progressed_at = now
             run.percent, run.percent_at = found.percent, now
-            run.figure = found.figure
+            run.measurement = found.measurement
             if found.checkpoint != run.checkpoint:
                 run.checkpoint = found.checkpoint
                 self._owner.book.note_checkpoint(run)
@@ -210,7 +210,7 @@
         """
         listed = {(found.key, found.attempt) for found in report.runs}
         for run in list(room.runs.values()):
-            if run.was_there(requested_at) and run.name not in listed:
+            if run.ran_before(requested_at) and run.name not in listed:
                 RUN_VANISHED.write(**run_fields(run))
                 room.release(run)
                 self._owner.book.end(
--- a/papayapick/pool/reports.py
+++ b/papayapick/pool/reports.py
@@ -109,19 +109,19 @@
     checkpoint : str
     percent : int
         Share of the work that is done; 100 for a lasting task that has started up.
-    figure : float or None
+    measurement : float or None
         Tail latency in milliseconds for a task that serves requests, processors in
         use in millicores for any other task; None if it was not measured.
     """
 
-    __slots__ = ("attempt", "checkpoint", "figure", "key", "percent")
+    __slots__ = ("attempt", "checkpoint", "measurement", "key", "percent")
 
-    def __init__(self, key, attempt, checkpoint="", percent=0, figure=None):
+    def __init__(self, key, attempt, checkpoint="", percent=0, measurement=None):
         self.key = key
         self.attempt = attempt
         self.checkpoint = checkpoint
         self.percent = percent
-        self.figure = figure
+        self.measurement = measurement
 
 
 class EndReport:
--- a/papayapick/pool/store_sync.py
+++ b/papayapick/pool/store_sync.py
@@ -167,7 +167,7 @@
             # One unreadable record must not stop all other jobs, on one host after
             # another. This job stays in the store until an operator repairs it.
             RECORD_REFUSED.write_failure(request_id=row.key)
-            self._owner.book.forget(row.key)
+            self._owner.book.remove(row.key)
             return
         if not job.is_final:
             self._log_job_taken(job)
--- a/tests/pool/test_liveness.py
+++ b/tests/pool/test_liveness.py
@@ -76,7 +76,7 @@
 def test_run_of_an_unanswered_order_is_kept(load):
     # The order may still be executed by a restarted worker under the same id.
     run = runs(load)[0]
-    run.phase, run.was_seen = RunPhase.UNSURE, False
+    run.phase, run.was_listed = RunPhase.UNSURE, False
     assert waiting_after_check(load, Machines(load.other, "")) == 3
 
 
--- a/tests/pool/test_pace.py
+++ b/tests/pool/test_pace.py
@@ -92,9 +92,9 @@
         """
         for _ in range(reports):
             self.host.clock.advance(REPORT_INTERVAL_SECONDS)
-            runs = [RunReport(FILLER, 1, percent=10, figure=500), *others]
+            runs = [RunReport(FILLER, 1, percent=10, measurement=500), *others]
             if self.is_serving:
-                runs.append(RunReport(SERVING, attempt, percent=100, figure=tail))
+                runs.append(RunReport(SERVING, attempt, percent=100, measurement=tail))
             link = self.owner.links_by_worker["w1"]
             now = self.host.clock.monotonic()
             ended = [
@@ -190,8 +190,8 @@
 # Figures that are not available yet.
 
 
-@pytest.mark.parametrize("figure", [0, None])
-def test_filler_is_not_sped_up_by_an_unmeasured_tail(figure):
+@pytest.mark.parametrize("measurement", [0, None])
+def test_filler_is_not_sped_up_by_an_unmeasured_tail(measurement):
     """Guards against long response times just after a lasting task has started.
 
     Its worker has not measured half a second yet. Taken for a tail of 0, the missing
@@ -199,7 +199,7 @@
     """
     pool = Pool(actual_pace=20)
     pool.set_known_pace(20)
-    pool.report_tail(figure, attempt=2)
+    pool.report_tail(measurement, attempt=2)
     assert pool.client.ordered == []
 
 
@@ -239,7 +239,7 @@
     pool = Pool(actual_pace=20)
     pool.set_known_pace(20)
     other = TaskKey(ID, 0, 0, 1)
-    pool.report_tail(HIGH, others=[RunReport(other, 1, percent=100, figure=None)])
+    pool.report_tail(HIGH, others=[RunReport(other, 1, percent=100, measurement=None)])
     assert pool.client.ordered == [10]
 
 
