--- a/papayapick/ownership/__init__.py
+++ b/papayapick/ownership/__init__.py
@@ -8,11 +8,11 @@
     ShardNotOwned,
     TakeoverLost,
 )
-from papayapick.ownership.leases import LeaseBook
+from papayapick.ownership.leases import LeaseTracker
 from papayapick.ownership.queries import ShardRow, read_shard, read_shards
 
 __all__ = [
-    "LeaseBook",
+    "LeaseTracker",
     "OwnershipError",
     "OwnershipUnconfirmed",
     "ShardNotOwned",
--- a/papayapick/ownership/leases.py
+++ b/papayapick/ownership/leases.py
@@ -2,7 +2,7 @@
 
 import threading
 
-__all__ = ["LeaseBook"]
+__all__ = ["LeaseTracker"]
 
 
 class _Lease:
@@ -13,7 +13,7 @@
         self.answered = now
 
 
-class LeaseBook:
+class LeaseTracker:
     """Remember when each task's lease was last asked for by this process.
 
     A worker that can't be reached may run a task until its lease lapses by the
@@ -37,13 +37,13 @@
     --------
     >>> from papayapick.clock import ManualClock
     >>> clock = ManualClock()
-    >>> book = LeaseBook(clock, 10.0, 0.02)
-    >>> book.note_start("task-1")
+    >>> leases = LeaseTracker(clock, 10.0, 0.02)
+    >>> leases.note_start("task-1")
     >>> clock.advance(10.1)
-    >>> book.are_over(["task-1"])
+    >>> leases.have_expired(["task-1"])
     False
     >>> clock.advance(0.2)
-    >>> book.are_over(["task-1"]), book.are_over(["inherited"])
+    >>> leases.have_expired(["task-1"]), leases.have_expired(["inherited"])
     (True, False)
     """
 
@@ -76,13 +76,13 @@
                 lease = self._leases.setdefault(task, _Lease(now))
                 lease.answered = now
 
-    def forget(self, tasks):
+    def remove(self, tasks):
         """Drop tasks that have ended."""
         with self._lock:
             for task in tasks:
                 self._leases.pop(task, None)
 
-    def are_silent(self, tasks):
+    def has_unanswered(self, tasks):
         """Return whether no answer came for half a lease about any of the tasks."""
         now = self._clock.monotonic()
         with self._lock:
@@ -92,7 +92,7 @@
                 for task in tasks
             )
 
-    def are_over(self, tasks):
+    def have_expired(self, tasks):
         """Return whether no lease of the tasks can be in force any more."""
         now = self._clock.monotonic()
         with self._lock:
--- a/papayapick/placer/members.py
+++ b/papayapick/placer/members.py
@@ -2,7 +2,7 @@
 
 from papayapick.clients import PlatformError
 from papayapick.ledger import Amounts
-from papayapick.ownership import LeaseBook
+from papayapick.ownership import LeaseTracker
 
 __all__ = ["JobMembers", "in_parallel"]
 
@@ -28,7 +28,7 @@
         self._executor = process.executor
         self._workers = workers
         self._lease_seconds = process.settings.task_lease_seconds
-        self._leases = LeaseBook(self._clock, self._lease_seconds, _CLOCK_DRIFT)
+        self._leases = LeaseTracker(self._clock, self._lease_seconds, _CLOCK_DRIFT)
 
     def start(self, shard, running, work):
         """Start the members sequentially, up to the first failure.
@@ -127,7 +127,7 @@
                 self._workers.stop(entry, shard.epoch, [place.task])
             except PlatformError:
                 confirmed = False
-        return confirmed or self._leases.are_over(running.tasks)
+        return confirmed or self._leases.have_expired(running.tasks)
 
     def is_silent(self, running):
         """Return whether some member was not reported for a whole lease."""
@@ -136,7 +136,7 @@
 
     def forget(self, running):
         """Drop the leases of a job that has no running member."""
-        self._leases.forget(running.tasks)
+        self._leases.remove(running.tasks)
 
     @staticmethod
     def _apply_usage(shard, report):
@@ -155,7 +155,7 @@
         return {report.task: report for report in reports}
 
     def _renew_or_fence(self, entry, epoch, tasks):
-        if self._leases.are_silent(tasks):
+        if self._leases.has_unanswered(tasks):
             # Each renewal may reach the worker while its answer is lost, so the
             # lease can be known to have expired only after renewals stop. A fence
             # call shows whether the worker is reachable and extends no lease.
