--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -13,7 +13,7 @@
     POOL_NOT_TAKEN,
     POOL_UNREAD,
 )
-from papayapick.ownership.pools import OwnershipLost, PoolRow, read_pool, take_pool
+from papayapick.ownership.pools import OwnershipLost, PoolRow, claim_pool, read_pool
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.recording import TRUST_SECONDS
 from papayapick.pool.store_sync import check_readable
@@ -250,7 +250,7 @@
             name = host.settings.host_name
             address = "{}:{}".format(*host.settings.peer_address)
             self._claimed_epoch = row.epoch + 1
-            taken = take_pool(host.store, row, name, address)
+            taken = claim_pool(host.store, row, name, address)
         except OwnershipLost:
             self._claimed_epoch = 0
             POOL_LOST_RACE.write(pool=self.pool, epoch=self.row.epoch)
--- a/papayapick/ownership/pools.py
+++ b/papayapick/ownership/pools.py
@@ -13,10 +13,10 @@
     "CELL_TABLE",
     "OwnershipLost",
     "PoolRow",
+    "claim_pool",
     "pool_row",
     "read_pool",
     "release_pool",
-    "take_pool",
 ]
 
 CELL_TABLE = "cell"
@@ -84,7 +84,7 @@
     )
 
 
-def take_pool(store, seen, owner, address):
+def claim_pool(store, seen, owner, address):
     """Become the owner of a pool at the next epoch.
 
     Parameters
--- a/tests/entry/test_candidacy.py
+++ b/tests/entry/test_candidacy.py
@@ -78,7 +78,7 @@
 
     claims = []
     monkeypatch.setattr(module, "read_pool", lambda store, pool: rows[0])
-    monkeypatch.setattr(module, "take_pool", record_claim_and_take)
+    monkeypatch.setattr(module, "claim_pool", record_claim_and_take)
     monkeypatch.setattr(module, "check_readable", lambda host, pool: None)
     monkeypatch.setattr(Candidacy, "_start_owner", lambda self, row: self.note_row(row))
     found = Candidacy(Host(), "pool")
