--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -9,7 +9,7 @@
 from papayapick.clients.exceptions import PlatformError, TableUnavailable
 from papayapick.clock import SystemClock
 from papayapick.limits import PauseGuard
-from papayapick.membership import LookGate, Peers
+from papayapick.membership import Peers, PollGate
 from papayapick.observability import (
     Metrics,
     Tracing,
@@ -162,7 +162,7 @@
             (self.heartbeat, self.watcher.hear, self.watcher.count_pauses),
         )
         self.peers.use_store_region(self._store_region)
-        self._head_gate = LookGate(self.clock, self.hears_store)
+        self._head_gate = PollGate(self.clock, self.hears_store)
 
     def hears_store(self):
         """Return whether the store is far and a live placer near it is known."""
--- a/papayapick/membership/peers.py
+++ b/papayapick/membership/peers.py
@@ -7,8 +7,8 @@
 from papayapick.clients.hosts import PLACER_KIND
 from papayapick.membership.asking import RELAY_SILENCE_SHARE, asks
 from papayapick.membership.exceptions import ShardUnserved
-from papayapick.membership.looks import LookGate
 from papayapick.membership.peer import Peer
+from papayapick.membership.poll_gate import PollGate
 from papayapick.membership.retelling import Retelling
 from papayapick.observability import get_logger
 from papayapick.wire import PeerClient, WireError
@@ -89,7 +89,7 @@
         self._count_pauses = count_pauses
         self._listed_placers = 0
         self._newest_head = 0
-        self._list_gate = LookGate(clock, lambda: False)
+        self._list_gate = PollGate(clock, lambda: False)
         self._retelling = Retelling(self, clock)
         self._entries = []
         self._peers = {}
@@ -150,7 +150,7 @@
         store_region : callable
             Returns the region's name, empty where none is known yet.
         """
-        self._list_gate = LookGate(self._clock, lambda: self.hears(store_region()))
+        self._list_gate = PollGate(self._clock, lambda: self.hears(store_region()))
 
     def refresh(self):
         """Read the list; start a task for each new placer, end those long gone."""
--- a/papayapick/membership/looks.py
+++ b/papayapick/membership/poll_gate.py
@@ -1,11 +1,11 @@
 """Decide when a process far from the store looks at what it keeps there."""
 
-__all__ = ["LookGate"]
+__all__ = ["PollGate"]
 
 _LONGEST_SECONDS = 20.0
 
 
-class LookGate:
+class PollGate:
     """Let a look through where something may have changed.
 
     Each look of a process in another region than the store's crosses the paid
@@ -16,17 +16,17 @@
     Parameters
     ----------
     clock : Clock
-    hears_store : callable
+    has_store_contact : callable
         Returns whether a live placer of the store's region is known, False for
         a process that stands there itself.
     """
 
-    __slots__ = ("_clock", "_hears_store", "_looked")
+    __slots__ = ("_clock", "_has_store_contact", "_last_poll_at")
 
-    def __init__(self, clock, hears_store):
+    def __init__(self, clock, has_store_contact):
         self._clock = clock
-        self._hears_store = hears_store
-        self._looked = float("-inf")
+        self._has_store_contact = has_store_contact
+        self._last_poll_at = float("-inf")
 
     def is_due(self, has_changed):
         """Return whether to look now, and count the look as made.
@@ -36,8 +36,8 @@
         has_changed : bool
         """
         now = self._clock.monotonic()
-        is_quiet = self._hears_store() and not has_changed
-        if is_quiet and now - self._looked < _LONGEST_SECONDS:
+        is_unchanged = self._has_store_contact() and not has_changed
+        if is_unchanged and now - self._last_poll_at < _LONGEST_SECONDS:
             return False
-        self._looked = now
+        self._last_poll_at = now
         return True
--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -3,7 +3,7 @@
 import threading
 
 from papayapick.clients import PlatformError
-from papayapick.membership import LookGate
+from papayapick.membership import PollGate
 from papayapick.observability import get_logger
 from papayapick.ownership import (
     ShardNotOwned,
@@ -58,7 +58,7 @@
         self._on_lost = on_lost
         self._shards = {}
         self._claimed = {}
-        self._gate = LookGate(process.clock, lambda: process.hears_store())
+        self._gate = PollGate(process.clock, lambda: process.hears_store())
         self._takeovers = set()
         self._lock = threading.Lock()
 
--- a/tests/membership/test_wrong_lists.py
+++ b/tests/membership/test_wrong_lists.py
@@ -1,7 +1,7 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.membership import LookGate, ShardUnserved
+from papayapick.membership import PollGate, ShardUnserved
 from papayapick.ownership import preferred_owner
 from tests.membership.parts import DEAD_AFTER, NORTH, SOUTH, World
 
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("hears_store", "has_changed", "waited", "is_due"),
+    ("has_store_contact", "has_changed", "waited", "is_due"),
     [
         (False, False, 1, True),
         (True, True, 1, True),
@@ -85,10 +85,10 @@
     ],
 )
 def test_a_far_process_looks_where_something_may_have_changed(
-    hears_store, has_changed, waited, is_due
+    has_store_contact, has_changed, waited, is_due
 ):
     clock = ManualClock()
-    gate = LookGate(clock, lambda: hears_store)
+    gate = PollGate(clock, lambda: has_store_contact)
     assert gate.is_due(False)
     clock.advance(waited)
     assert gate.is_due(has_changed) == is_due
