--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -208,11 +208,13 @@
         self.serving = {}
         for zone, peer in self.peers.items():
             if not self.is_gone(zone):
-                peer.last_heard = now
+                peer.last_heartbeat_at = now
                 loads = self.desks[zone].loads()
-                peer.heard = ShardSummary(shard=f"{zone}.0", epoch=1, loads=loads)
-            if now - peer.last_heard <= 3.0:
-                self.serving[f"{zone}.0"] = (peer, peer.heard)
+                peer.last_heartbeat = ShardSummary(
+                    shard=f"{zone}.0", epoch=1, loads=loads
+                )
+            if now - peer.last_heartbeat_at <= 3.0:
+                self.serving[f"{zone}.0"] = (peer, peer.last_heartbeat)
 
     def _expire(self):
         for desk in self.desks.values():
--- a/papayapick/membership/__init__.py
+++ b/papayapick/membership/__init__.py
@@ -5,4 +5,4 @@
 from papayapick.membership.peers import Peers
 from papayapick.membership.poll_gate import PollGate
 
-__all__ = ["PollGate", "MembershipError", "Peer", "Peers", "ShardUnserved"]
+__all__ = ["MembershipError", "Peer", "Peers", "PollGate", "ShardUnserved"]
--- a/papayapick/membership/asking.py
+++ b/papayapick/membership/asking.py
@@ -24,7 +24,7 @@
     near, far = [], []
     for found in peers.peers():
         if not peers.is_far(found):
-            if found.heard and peers.silence(found) <= allowed:
+            if found.last_heartbeat and peers.silence(found) <= allowed:
                 near.append(found.name)
         elif found.entry.region == peer.entry.region and _answers(
             peers, settings, found, now
@@ -36,5 +36,5 @@
 def _answers(peers, settings, peer, now):
     # A partner that left a question unanswered is passed over for a while;
     # else all of its region would seem silent with it.
-    is_passed_over = now - peer.failed <= settings.dead_after_seconds
-    return peer.heard and not peers.is_silent(peer) and not is_passed_over
+    is_skipped = now - peer.last_failed_at <= settings.dead_after_seconds
+    return peer.last_heartbeat and not peers.is_silent(peer) and not is_skipped
--- a/papayapick/membership/peer.py
+++ b/papayapick/membership/peer.py
@@ -16,15 +16,23 @@
         Monotonic seconds; silence counts from here until the first answer.
     """
 
-    __slots__ = ("asked", "client", "entry", "failed", "heard", "last_heard", "stop")
+    __slots__ = (
+        "client",
+        "entry",
+        "last_failed_at",
+        "last_heartbeat",
+        "last_heartbeat_at",
+        "last_sent_at",
+        "stop",
+    )
 
     def __init__(self, entry, client, now):
         self.entry = entry
         self.client = client
-        self.heard = None
-        self.last_heard = now
-        self.asked = float("-inf")
-        self.failed = float("-inf")
+        self.last_heartbeat = None
+        self.last_heartbeat_at = now
+        self.last_sent_at = float("-inf")
+        self.last_failed_at = float("-inf")
         self.stop = threading.Event()
 
     @property
--- a/papayapick/membership/peers.py
+++ b/papayapick/membership/peers.py
@@ -178,7 +178,9 @@
     def live(self):
         """Return the placers that answer, this process among them where listed."""
         return [
-            peer for peer in self.peers() if peer.heard and not self.is_silent(peer)
+            peer
+            for peer in self.peers()
+            if peer.last_heartbeat and not self.is_silent(peer)
         ]
 
     def is_alive(self, name):
@@ -196,7 +198,7 @@
         """
         found = {}
         for peer in self.live():
-            for summary in peer.heard.shards or ():
+            for summary in peer.last_heartbeat.shards or ():
                 best = found.get(summary.shard)
                 if best is None or best[1].epoch < summary.epoch:
                     found[summary.shard] = (peer, summary)
@@ -243,7 +245,7 @@
 
     def silence(self, peer):
         """Return the seconds since a placer was last heard of."""
-        return self._clock.monotonic() - peer.last_heard
+        return self._clock.monotonic() - peer.last_heartbeat_at
 
     @property
     def link_seconds(self):
@@ -252,7 +254,7 @@
 
     def _list_has_changed(self):
         own = self._host_list.tag
-        tags = {peer.heard.list_tag for peer in self.live()}
+        tags = {peer.last_heartbeat.list_tag for peer in self.live()}
         return bool(tags - {own, "", None})
 
     def is_silent(self, peer):
@@ -271,18 +273,18 @@
         """Exchange a heartbeat with a peer if it is due and this process's part."""
         if not self._is_due(peer):
             return
-        peer.asked = self._clock.monotonic()
+        peer.last_sent_at = self._clock.monotonic()
         try:
             self.beat(peer)
         except WireError as error:
-            peer.failed = self._clock.monotonic()
+            peer.last_failed_at = self._clock.monotonic()
             _LOG.debug("peer silent", extra={"peer": peer.name, "error": str(error)})
 
     def _is_due(self, peer):
         if not self.is_far(peer):
             return True
         # Bytes over the link between regions are paid for.
-        since = self._clock.monotonic() - peer.asked
+        since = self._clock.monotonic() - peer.last_sent_at
         return since >= self.link_seconds * _ALMOST and self.asks(peer)
 
     def asks(self, peer):
@@ -303,8 +305,8 @@
         now = self._clock.monotonic()
         self.note_head(answer.head_version or 0)
         if not self.is_far(peer):
-            peer.heard = answer
-            peer.last_heard = now
+            peer.last_heartbeat = answer
+            peer.last_heartbeat_at = now
         self._retelling.note(peer, answer, now)
 
         def fetch():
--- a/papayapick/membership/relays.py
+++ b/papayapick/membership/relays.py
@@ -56,8 +56,8 @@
     placers = [
         PlacerSummary(
             host=peer.name,
-            draining=bool(peer.heard.draining),
-            shards=[_rounded(shard) for shard in peer.heard.shards or ()],
+            draining=bool(peer.last_heartbeat.draining),
+            shards=[_rounded(shard) for shard in peer.last_heartbeat.shards or ()],
         )
         for peer in sorted(peers, key=lambda peer: peer.name)
     ]
--- a/papayapick/membership/retelling.py
+++ b/papayapick/membership/retelling.py
@@ -93,8 +93,8 @@
                 continue
             # The word of two relays may come in either order, and this process,
             # which asks itself as well, hears its own word again.
-            if heard_at > peer.last_heard or peer.heard is None:
-                peer.heard = Heartbeat(
+            if heard_at > peer.last_heartbeat_at or peer.last_heartbeat is None:
+                peer.last_heartbeat = Heartbeat(
                     host=found.host,
                     bundle_sequence=answer.bundle_sequence,
                     bundle_digest=answer.bundle_digest,
@@ -102,15 +102,15 @@
                     draining=found.draining,
                     list_tag=list_tag,
                 )
-                peer.last_heard = heard_at
+                peer.last_heartbeat_at = heard_at
 
     def _say(self, found):
         """Return the summary for other regions, its loads a little old."""
         now = self._clock.monotonic()
         served = {
-            (peer.name, bool(peer.heard.draining), shard.shard, shard.epoch)
+            (peer.name, bool(peer.last_heartbeat.draining), shard.shard, shard.epoch)
             for peer in found
-            for shard in peer.heard.shards or [ShardSummary(shard="", epoch=0)]
+            for shard in peer.last_heartbeat.shards or [ShardSummary(shard="", epoch=0)]
         }
         said, since, summary = self._said
         if served != said or now - since >= _LOADS_SECONDS:
@@ -124,4 +124,8 @@
         far = [one for one in self._peers.peers() if self._peers.is_far(one)]
         if not any(one.name in self._told for one in far):
             return []
-        return [one for one in far if one.heard and self._peers.silence(one) <= allowed]
+        return [
+            one
+            for one in far
+            if one.last_heartbeat and self._peers.silence(one) <= allowed
+        ]
--- a/papayapick/ownership/assignments.py
+++ b/papayapick/ownership/assignments.py
@@ -53,7 +53,7 @@
     able = [
         peer.entry
         for peer in peers
-        if not peer.heard.draining and peer.heard.bundle_sequence
+        if not peer.last_heartbeat.draining and peer.last_heartbeat.bundle_sequence
     ]
     return [entry for entry in able if entry.is_live] or able
 
--- a/papayapick/placer/handover.py
+++ b/papayapick/placer/handover.py
@@ -198,7 +198,7 @@
         peers = {
             peer.name: peer
             for peer in process.peers.live()
-            if not peer.heard.draining and peer.heard.bundle_sequence
+            if not peer.last_heartbeat.draining and peer.last_heartbeat.bundle_sequence
         }
         if process.is_draining:
             peers.pop(host, None)
--- a/papayapick/routing/loads.py
+++ b/papayapick/routing/loads.py
@@ -78,7 +78,7 @@
         """
         now = self._clock.monotonic()
         with self._lock:
-            own = self._of(shard, load.service, peer.last_heard)
+            own = self._of(shard, load.service, peer.last_heartbeat_at)
             room = load.free_slots - load.waiting - own.change
             return Candidate(tier, shard, peer, room, own.refusing_until > now)
 
@@ -98,7 +98,7 @@
         """Take a shard for full until its next heartbeat."""
         now = self._clock.monotonic()
         with self._lock:
-            own = self._of(candidate.shard, service, candidate.peer.last_heard)
+            own = self._of(candidate.shard, service, candidate.peer.last_heartbeat_at)
             own.change += max(0, candidate.room)
             own.refusing_until = now + _REFUSAL_SECONDS
 
--- a/papayapick/routing/slots.py
+++ b/papayapick/routing/slots.py
@@ -228,7 +228,7 @@
             caller=call.caller,
             avoid=list(call.avoid),
         )
-        heard_at = peer.last_heard
+        heard_at = peer.last_heartbeat_at
         try:
             granted = self._answer(peer.client, wanted, wait_seconds, call.traceparent)
         except PeerRefused as refusal:
--- a/tests/ownership/test_assignments.py
+++ b/tests/ownership/test_assignments.py
@@ -12,7 +12,9 @@
 def peer(name, zone="hobart-a", state="live", draining=False, sequence=1):
     return SimpleNamespace(
         entry=HostEntry(name, "placer", state, "127.0.0.1:1", "south-tas", zone),
-        heard=Heartbeat(host=name, draining=draining, bundle_sequence=sequence),
+        last_heartbeat=Heartbeat(
+            host=name, draining=draining, bundle_sequence=sequence
+        ),
     )
 
 
--- a/tests/placer/test_forwarding.py
+++ b/tests/placer/test_forwarding.py
@@ -53,9 +53,12 @@
 def handed_over(monkeypatch, error, is_sent):
     """Return a handover whose shard has gone to a peer that fails all calls."""
     entry = SimpleNamespace(name="placer-2", zone="hobart-a", region="south-tas")
-    heard = SimpleNamespace(draining=False, bundle_sequence=1)
+    last_heartbeat = SimpleNamespace(draining=False, bundle_sequence=1)
     peer = SimpleNamespace(
-        name="placer-2", heard=heard, entry=entry, client=FakeClient(error, is_sent)
+        name="placer-2",
+        last_heartbeat=last_heartbeat,
+        entry=entry,
+        client=FakeClient(error, is_sent),
     )
     assert preferred_owner(SHARD, [entry]) == "placer-2"
     monkeypatch.setattr(handovers, "release", lambda table, row: None)
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -212,7 +212,7 @@
     assert shards.count("a.1") == 3
     assert shards.count("b.0") == 2
     for peer, _ in bench.peers.found.values():
-        peer.last_heard = 1.0
+        peer.last_heartbeat_at = 1.0
     assert bench.acquire().granted.shard in ("a.0", "a.1")
 
 
@@ -233,7 +233,7 @@
     bench.client.release(first, "stale", 0.0)
     assert [bench.acquire().granted.shard for _ in range(3)] == ["b.0"] * 3
     for peer, _ in bench.peers.found.values():
-        peer.last_heard = 1.0
+        peer.last_heartbeat_at = 1.0
     assert bench.acquire().granted.shard == "a.0"
 
 
