--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -199,13 +199,13 @@
         settings = SimpleNamespace(
             availability_zone=zone, region=ZONES[zone], grant_seconds=0.5
         )
-        peers = SimpleNamespace(serving=lambda: self.serving)
+        peers = SimpleNamespace(shard_owners=lambda: self.shard_owners)
         draw = random.Random(self.draw.random())
         return SlotClient(peers, settings, self.clock, draw, lambda: ZONES)
 
     def _beat(self):
         now = self.clock.monotonic()
-        self.serving = {}
+        self.shard_owners = {}
         for zone, peer in self.peers.items():
             if not self.is_gone(zone):
                 peer.last_heartbeat_at = now
@@ -214,7 +214,7 @@
                     shard=f"{zone}.0", epoch=1, loads=loads
                 )
             if now - peer.last_heartbeat_at <= 3.0:
-                self.serving[f"{zone}.0"] = (peer, peer.last_heartbeat)
+                self.shard_owners[f"{zone}.0"] = (peer, peer.last_heartbeat)
 
     def _expire(self):
         for desk in self.desks.values():
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -166,7 +166,7 @@
 
     def hears_store(self):
         """Return whether the store is far and a live placer near it is known."""
-        return self.peers.hears(self._store_region())
+        return self.peers.has_live_peer_in(self._store_region())
 
     def _store_region(self):
         if not self.watcher.sequence:
--- a/papayapick/membership/asking.py
+++ b/papayapick/membership/heartbeat_exchange.py
@@ -1,15 +1,15 @@
 """Choose which process asks a far placer for its heartbeat."""
 
-from papayapick.membership.relays import crosses
+from papayapick.membership.relays import contacts_far_placer
 
-__all__ = ["RELAY_SILENCE_SHARE", "asks"]
+__all__ = ["RELAY_SILENCE_SHARE", "exchanges_with"]
 
 # A near placer that missed two heartbeats is no relay any more, though it is
 # not dead yet: another takes the relay's part before far placers seem silent.
 RELAY_SILENCE_SHARE = 1 / 3
 
 
-def asks(peers, settings, peer, now):
+def exchanges_with(peers, settings, peer, now):
     """Return whether this process exchanges heartbeats with a far placer.
 
     Parameters
@@ -30,7 +30,9 @@
             peers, settings, found, now
         ):
             far.append(found.name)
-    return crosses(settings.host_name, settings.region, near, far, peer.name)
+    return contacts_far_placer(
+        settings.host_name, settings.region, near, far, peer.name
+    )
 
 
 def _answers(peers, settings, peer, now):
--- a/papayapick/membership/peers.py
+++ b/papayapick/membership/peers.py
@@ -5,8 +5,8 @@
 from papayapick.bundle import PeerHead
 from papayapick.clients import HostListUnavailable
 from papayapick.clients.hosts import PLACER_KIND
-from papayapick.membership.asking import RELAY_SILENCE_SHARE, asks
 from papayapick.membership.exceptions import ShardUnserved
+from papayapick.membership.heartbeat_exchange import RELAY_SILENCE_SHARE, exchanges_with
 from papayapick.membership.peer import Peer
 from papayapick.membership.poll_gate import PollGate
 from papayapick.membership.retelling import Retelling
@@ -43,7 +43,7 @@
     executor : concurrent.futures.Executor
         Runs one task for each peer.
     settings : Settings
-    hear_bundle : callable
+    on_bundle_head : callable
         Called with a PeerHead and a function that fetches the body.
     count_pauses : callable
         Returns the pauses of this process so far.
@@ -55,7 +55,7 @@
         "_count_pauses",
         "_entries",
         "_executor",
-        "_hear_bundle",
+        "_on_bundle_head",
         "_host_list",
         "_list_gate",
         "_listed_placers",
@@ -76,7 +76,7 @@
         clock,
         executor,
         settings,
-        hear_bundle,
+        on_bundle_head,
         count_pauses=lambda: 0,
     ):
         self._host_list = host_list
@@ -85,7 +85,7 @@
         self._clock = clock
         self._executor = executor
         self._settings = settings
-        self._hear_bundle = hear_bundle
+        self._on_bundle_head = on_bundle_head
         self._count_pauses = count_pauses
         self._listed_placers = 0
         self._newest_head = 0
@@ -105,7 +105,7 @@
         Parameters
         ----------
         callbacks : tuple of callable
-            ``own_heartbeat``, ``hear_bundle`` and ``count_pauses``.
+            ``own_heartbeat``, ``on_bundle_head`` and ``count_pauses``.
         """
 
         def connect(address):
@@ -136,7 +136,7 @@
         """Return the tag of the live list as last read."""
         return self._host_list.tag
 
-    def hears(self, region):
+    def has_live_peer_in(self, region):
         """Return whether a live placer of another region is known."""
         return region != self._settings.region and any(
             peer.entry.region == region for peer in self.live()
@@ -150,7 +150,9 @@
         store_region : callable
             Returns the region's name, empty where none is known yet.
         """
-        self._list_gate = PollGate(self._clock, lambda: self.hears(store_region()))
+        self._list_gate = PollGate(
+            self._clock, lambda: self.has_live_peer_in(store_region())
+        )
 
     def refresh(self):
         """Read the list; start a task for each new placer, end those long gone."""
@@ -189,7 +191,7 @@
             peer = self._peers.get(name)
         return peer is not None and not self.is_silent(peer)
 
-    def serving(self):
+    def shard_owners(self):
         """Return, for each shard, the live placer that claims the highest epoch.
 
         Returns
@@ -206,7 +208,7 @@
 
     def owner_of(self, shard):
         """Return the placer that serves a shard; raise ShardUnserved."""
-        found = self.serving().get(shard)
+        found = self.shard_owners().get(shard)
         if found is None:
             raise ShardUnserved(shard=shard)
         return found[0]
@@ -227,7 +229,7 @@
         client = self._connect(entry.address)
         peer = Peer(entry, client, self._clock.monotonic())
         self._peers[entry.name] = peer
-        self._executor.submit(self._follow, peer)
+        self._executor.submit(self._run_heartbeats, peer)
 
     def _drop(self, name):
         peer = self._peers.pop(name)
@@ -264,18 +266,18 @@
             allowed *= _FAR_SILENCE_FACTOR
         return self.silence(peer) > allowed
 
-    def _follow(self, peer):
+    def _run_heartbeats(self, peer):
         while not (self._stopping or peer.stop.is_set()):
-            self.step(peer)
+            self.exchange_if_due(peer)
             self._clock.wait(peer.stop, self._settings.heartbeat_seconds)
 
-    def step(self, peer):
+    def exchange_if_due(self, peer):
         """Exchange a heartbeat with a peer if it is due and this process's part."""
         if not self._is_due(peer):
             return
         peer.last_sent_at = self._clock.monotonic()
         try:
-            self.beat(peer)
+            self.exchange_heartbeat(peer)
         except WireError as error:
             peer.last_failed_at = self._clock.monotonic()
             _LOG.debug("peer silent", extra={"peer": peer.name, "error": str(error)})
@@ -285,13 +287,13 @@
             return True
         # Bytes over the link between regions are paid for.
         since = self._clock.monotonic() - peer.last_sent_at
-        return since >= self.link_seconds * _ALMOST and self.asks(peer)
+        return since >= self.link_seconds * _ALMOST and self.exchanges_with(peer)
 
-    def asks(self, peer):
+    def exchanges_with(self, peer):
         """Return whether this process exchanges heartbeats with a far placer."""
-        return asks(self, self._settings, peer, self._clock.monotonic())
+        return exchanges_with(self, self._settings, peer, self._clock.monotonic())
 
-    def beat(self, peer):
+    def exchange_heartbeat(self, peer):
         """Exchange one heartbeat with a peer; raise WireError."""
         seconds = self._settings.dead_after_seconds * RELAY_SILENCE_SHARE
         pauses = self._count_pauses()
@@ -321,7 +323,7 @@
             pauses,
             self._listed_placers,
         )
-        self._hear_bundle(head, fetch)
+        self._on_bundle_head(head, fetch)
 
     def note_head(self, version):
         """Hear of a version of the bundle's head; return whether it is a newer one."""
--- a/papayapick/membership/relays.py
+++ b/papayapick/membership/relays.py
@@ -4,7 +4,7 @@
 
 from papayapick.wire.messages import PlacerSummary, ServiceLoad, ShardSummary
 
-__all__ = ["crosses", "relay_of", "summary_of"]
+__all__ = ["contacts_far_placer", "relay_of", "summary_of"]
 
 _VERSION_BYTES = 6
 
@@ -81,7 +81,7 @@
     return 1 << (count - 1).bit_length() if count else 0
 
 
-def crosses(host, region, near, far, name):
+def contacts_far_placer(host, region, near, far, name):
     """Return whether this process asks a far placer itself.
 
     One placer of a region asks one placer of the other; both are found by
--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -213,7 +213,7 @@
     def _may_have_changed(self):
         """Return whether the rows may differ from what the peers announce."""
         shards = self.shards
-        served = self._process.peers.serving()
+        served = self._process.peers.shard_owners()
         return (
             any(shard.needs_confirmation for shard in shards)
             or bool(set(self._process.watcher.bundle.shards()) - set(served))
--- a/papayapick/routing/slots.py
+++ b/papayapick/routing/slots.py
@@ -261,7 +261,7 @@
 
     def _candidates(self, policy):
         found = []
-        for shard, (peer, summary) in self._peers.serving().items():
+        for shard, (peer, summary) in self._peers.shard_owners().items():
             tier = self._tier(shard)
             if tier == ACROSS_LINK and not policy.across_link:
                 continue
--- a/tests/membership/parts.py
+++ b/tests/membership/parts.py
@@ -154,7 +154,7 @@
             for member in self.members.values():
                 if not member.is_down:
                     for peer in member.peers.peers():
-                        member.peers.step(peer)
+                        member.peers.exchange_if_due(peer)
             self.clock.advance(HEARTBEAT)
 
     def names(self, region):
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -73,7 +73,7 @@
             summary = ShardSummary(shard=shard, epoch=1, loads=[load])
             self.found[shard] = (peer, summary)
 
-    def serving(self):
+    def shard_owners(self):
         return self.found
 
 
