--- a/papayapick/membership/peers.py
+++ b/papayapick/membership/peers.py
@@ -9,7 +9,7 @@
 from papayapick.membership.heartbeat_exchange import RELAY_SILENCE_SHARE, exchanges_with
 from papayapick.membership.peer import Peer
 from papayapick.membership.poll_gate import PollGate
-from papayapick.membership.retelling import Retelling
+from papayapick.membership.summary_exchange import SummaryExchange
 from papayapick.observability import get_logger
 from papayapick.wire import PeerClient, WireError
 from papayapick.wire.messages import BundleQuery, Heartbeat
@@ -63,7 +63,7 @@
         "_newest_head",
         "_own_heartbeat",
         "_peers",
-        "_retelling",
+        "_summaries",
         "_settings",
         "_stopping",
     )
@@ -90,7 +90,7 @@
         self._listed_placers = 0
         self._newest_head = 0
         self._list_gate = PollGate(clock, lambda: False)
-        self._retelling = Retelling(self, clock)
+        self._summaries = SummaryExchange(self, clock)
         self._entries = []
         self._peers = {}
         self._lock = threading.Lock()
@@ -300,7 +300,7 @@
         question = self._own_heartbeat()
         # The answerer asks this process itself, if it wants to know.
         question.shards = None
-        question.known = self._retelling.known_version(peer)
+        question.known = self._summaries.known_version(peer)
         answer = peer.client.ask(question, seconds)
         if not isinstance(answer, Heartbeat):
             return
@@ -309,7 +309,7 @@
         if not self.is_far(peer):
             peer.last_heartbeat = answer
             peer.last_heartbeat_at = now
-        self._retelling.note(peer, answer, now)
+        self._summaries.note(peer, answer, now)
 
         def fetch():
             query = BundleQuery(digest=answer.bundle_digest)
@@ -333,7 +333,7 @@
             self._newest_head = version
             return True
 
-    def add_summary(self, answer, known, asker_region):
+    def add_summary(self, answer, known, requester_region):
         """Put what an asker should hear of other placers into an answer.
 
         Parameters
@@ -341,6 +341,6 @@
         answer : Heartbeat
         known : int
             Version of the summary that the asker has.
-        asker_region : str
+        requester_region : str
         """
-        self._retelling.add(answer, known, asker_region == self._settings.region)
+        self._summaries.add(answer, known, requester_region == self._settings.region)
--- a/papayapick/membership/retelling.py
+++ b/papayapick/membership/summary_exchange.py
@@ -5,7 +5,7 @@
 from papayapick.membership.relays import summary_of
 from papayapick.wire.messages import Heartbeat, ShardSummary
 
-__all__ = ["Retelling"]
+__all__ = ["SummaryExchange"]
 
 _FRESH_BEATS = 2.5
 # Another region needs to know at once who serves what, but of loads only about
@@ -13,7 +13,7 @@
 _LOADS_SECONDS = 10.0
 
 
-class Retelling:
+class SummaryExchange:
     """Put summaries of regions into heartbeats and take them out again.
 
     A process of another region is told of the placers of this region; one of
@@ -26,17 +26,17 @@
     clock : Clock
     """
 
-    __slots__ = ("_clock", "_peers", "_said", "_told")
+    __slots__ = ("_clock", "_peers", "_sent", "_received")
 
     def __init__(self, peers, clock):
         self._peers = peers
         self._clock = clock
-        self._said = (None, float("-inf"), None)
-        self._told = {}
+        self._sent = (None, float("-inf"), None)
+        self._received = {}
 
     def known_version(self, peer):
         """Return the version of the summary last told by a peer, 0 for none."""
-        found = self._told.get(peer.name)
+        found = self._received.get(peer.name)
         return found[0] if found else 0
 
     def add(self, answer, known, is_near):
@@ -50,14 +50,14 @@
             Whether the asker stands in this region.
         """
         if is_near:
-            found = self._heard_over_link()
+            found = self._far_peers_contacted()
         else:
             found = [one for one in self._peers.live() if not self._peers.is_far(one)]
             # They stand in the summary.
             answer.shards = None
         if not found:
             return
-        version, placers = summary_of(found) if is_near else self._say(found)
+        version, placers = summary_of(found) if is_near else self._own_summary(found)
         answer.summary_version = version
         if is_near:
             oldest = max(self._peers.silence(peer) for peer in found)
@@ -66,34 +66,34 @@
         if version != known:
             answer.placers = placers
 
-    def note(self, teller, answer, now):
+    def note(self, sender, answer, now):
         """Take the summary of an answer as the word of far placers.
 
         Parameters
         ----------
-        teller : Peer
+        sender : Peer
         answer : Heartbeat
         now : float
             Monotonic seconds.
         """
         if not answer.summary_version:
             return
-        told = self._told.get(teller.name)
-        if told is None or told[0] != answer.summary_version:
-            told = (answer.summary_version, answer.placers or [])
-            self._told[teller.name] = told
+        received = self._received.get(sender.name)
+        if received is None or received[0] != answer.summary_version:
+            received = (answer.summary_version, answer.placers or [])
+            self._received[sender.name] = received
         # A near teller's tag is in its own heartbeat. Taken for a far placer's,
         # it would hide from a relay that asks itself that the list has changed.
-        list_tag = answer.list_tag if self._peers.is_far(teller) else None
-        heard_at = now - (answer.summary_age_milliseconds or 0) / 1000
+        list_tag = answer.list_tag if self._peers.is_far(sender) else None
+        heartbeat_at = now - (answer.summary_age_milliseconds or 0) / 1000
         known = {peer.name: peer for peer in self._peers.peers()}
-        for found in told[1]:
+        for found in received[1]:
             peer = known.get(found.host)
             if peer is None or not self._peers.is_far(peer):
                 continue
             # The word of two relays may come in either order, and this process,
             # which asks itself as well, hears its own word again.
-            if heard_at > peer.last_heartbeat_at or peer.last_heartbeat is None:
+            if heartbeat_at > peer.last_heartbeat_at or peer.last_heartbeat is None:
                 peer.last_heartbeat = Heartbeat(
                     host=found.host,
                     bundle_sequence=answer.bundle_sequence,
@@ -102,9 +102,9 @@
                     draining=found.draining,
                     list_tag=list_tag,
                 )
-                peer.last_heartbeat_at = heard_at
+                peer.last_heartbeat_at = heartbeat_at
 
-    def _say(self, found):
+    def _own_summary(self, found):
         """Return the summary for other regions, its loads a little old."""
         now = self._clock.monotonic()
         served = {
@@ -112,17 +112,17 @@
             for peer in found
             for shard in peer.last_heartbeat.shards or [ShardSummary(shard="", epoch=0)]
         }
-        said, since, summary = self._said
-        if served != said or now - since >= _LOADS_SECONDS:
+        sent, since, summary = self._sent
+        if served != sent or now - since >= _LOADS_SECONDS:
             summary = summary_of(found)
-            self._said = (served, now, summary)
+            self._sent = (served, now, summary)
         return summary
 
-    def _heard_over_link(self):
+    def _far_peers_contacted(self):
         # What others told this process is not told again: its age would be lost.
         allowed = self._peers.link_seconds * _FRESH_BEATS
         far = [one for one in self._peers.peers() if self._peers.is_far(one)]
-        if not any(one.name in self._told for one in far):
+        if not any(one.name in self._received for one in far):
             return []
         return [
             one
--- a/tests/membership/parts.py
+++ b/tests/membership/simulation.py
@@ -15,14 +15,14 @@
 SOUTH, NORTH = "south-tas", "north-tas"
 
 
-class Idle(Executor):
+class IdleExecutor(Executor):
     """Run no task: tests step the peers themselves."""
 
     def submit(self, *task, **options):
         return None
 
 
-class SharedList:
+class FakeHostList:
     """Hold the lines; each process's copy may lag behind or be down."""
 
     def __init__(self):
@@ -38,16 +38,16 @@
         return list(self.entries)
 
 
-class Member:
+class SimulatedProcess:
     """One process: its peers, and what it says of itself."""
 
-    def __init__(self, world, name, kind, region, zone, shards=()):
-        self.world = world
+    def __init__(self, simulation, name, kind, region, zone, shards=()):
+        self.simulation = simulation
         self.name = name
         self.shards = list(shards)
         self.is_down = False
         self.draining = False
-        self.host_list = SharedList()
+        self.host_list = FakeHostList()
         settings = SimpleNamespace(
             host_name=name,
             region=region,
@@ -57,10 +57,10 @@
         self.entry = HostEntry(name, kind, "live", name + ":1", region, zone)
         self.peers = Peers(
             self.host_list,
-            lambda address: Line(world, self, address[0]),
+            lambda address: SimulatedClient(simulation, self, address[0]),
             self.heartbeat,
-            world.clock,
-            Idle(),
+            simulation.clock,
+            IdleExecutor(),
             settings,
             lambda head, fetch: None,
         )
@@ -81,38 +81,38 @@
             ],
         )
 
-    def answer(self, question, asker):
+    def answer(self, question, requester):
         answer = self.heartbeat()
-        self.peers.add_summary(answer, question.known or 0, asker.entry.region)
+        self.peers.add_summary(answer, question.known or 0, requester.entry.region)
         return answer
 
     def live(self):
         return sorted(peer.name for peer in self.peers.live())
 
 
-class Line:
+class SimulatedClient:
     """Carry real messages to another member and count their bytes."""
 
-    def __init__(self, world, asker, name):
-        self.world, self.asker, self.name = world, asker, name
+    def __init__(self, simulation, requester, name):
+        self.simulation, self.requester, self.name = simulation, requester, name
 
     def ask(self, question, seconds):
-        world, peer = self.world, self.world.members[self.name]
-        is_far = peer.entry.region != self.asker.entry.region
-        if peer.is_down or (is_far and world.is_link_cut):
+        simulation, peer = self.simulation, self.simulation.members[self.name]
+        is_far = peer.entry.region != self.requester.entry.region
+        if peer.is_down or (is_far and simulation.is_link_cut):
             raise PeerTimeout(address=self.name, seconds=seconds)
         sent = encode(1, question)
-        received = encode(1, peer.answer(decode(sent)[1], self.asker))
+        received = encode(1, peer.answer(decode(sent)[1], self.requester))
         if is_far:
-            world.link_bytes += len(sent) + len(received)
-            world.crossings.append((self.asker.name, self.name))
+            simulation.link_bytes += len(sent) + len(received)
+            simulation.crossings.append((self.requester.name, self.name))
         return decode(received)[1]
 
     def close(self):
         """Hold nothing open."""
 
 
-class World:
+class Simulation:
     """All members, their clock and the link between the regions."""
 
     def __init__(self):
@@ -125,20 +125,20 @@
     @classmethod
     def of(cls, north=3, south=6, gateways=1):
         """Return placers and gateways of two regions that know each other."""
-        world = cls()
+        simulation = cls()
         for region, count in ((NORTH, north), (SOUTH, south)):
             for number in range(count):
                 name = f"placer-{region}-{number}"
                 shards = [(f"{region}.{number}", 1)]
-                world.add(name, "placer", region, shards)
+                simulation.add(name, "placer", region, shards)
             for number in range(gateways):
-                world.add(f"gateway-{region}-{number}", "gateway", region)
-        world.list_all()
-        world.run(6)
-        return world
+                simulation.add(f"gateway-{region}-{number}", "gateway", region)
+        simulation.list_all()
+        simulation.run(6)
+        return simulation
 
     def add(self, name, kind, region, shards=()):
-        member = Member(self, name, kind, region, region, shards)
+        member = SimulatedProcess(self, name, kind, region, region, shards)
         self.members[name] = member
         return member
 
--- a/tests/membership/test_announce.py
+++ b/tests/membership/test_announce.py
@@ -66,7 +66,7 @@
     assert (told, heard) == ([], [])
 
 
-class Listener:
+class FakeProcess:
     """Hold what a process needs to hear an asker, and count its looks."""
 
     def __init__(self):
@@ -104,7 +104,7 @@
     program they look at once; but each only once, or the heartbeats of all
     others would have the table asked again and again.
     """
-    process = Listener()
+    process = FakeProcess()
     for sequence, version in zip(sequences, versions, strict=True):
         beat = Heartbeat(
             host="a", bundle_sequence=sequence, bundle_digest="d", head_version=version
--- a/tests/membership/test_wrong_lists.py
+++ b/tests/membership/test_wrong_lists.py
@@ -3,70 +3,72 @@
 from papayapick.clock import ManualClock
 from papayapick.membership import PollGate, ShardUnserved
 from papayapick.ownership import preferred_owner
-from tests.membership.parts import DEAD_AFTER, NORTH, SOUTH, World
+from tests.membership.simulation import DEAD_AFTER, NORTH, SOUTH, Simulation
 
 
 @pytest.fixture
-def world():
-    return World.of(north=2, south=2)
+def simulation():
+    return Simulation.of(north=2, south=2)
 
 
-def test_a_dead_placer_on_the_list_gets_no_work(world):
+def test_a_dead_placer_on_the_list_gets_no_work(simulation):
     """The list names a placer for hours after its host died."""
-    dead = world.members["placer-south-tas-0"]
+    dead = simulation.members["placer-south-tas-0"]
     dead.is_down = True
-    world.run(DEAD_AFTER + 0.5)
-    gateway = world.members["gateway-south-tas-0"].peers
+    simulation.run(DEAD_AFTER + 0.5)
+    gateway = simulation.members["gateway-south-tas-0"].peers
     with pytest.raises(ShardUnserved):
         gateway.owner_of("south-tas.0")
     assert not gateway.is_alive(dead.name)
 
 
-def test_a_live_placer_that_the_list_lost_keeps_its_shards(world):
+def test_a_live_placer_that_the_list_lost_keeps_its_shards(simulation):
     """The list drops a placer that works; taken for dead, its shards would
     move under its callers' hands.
     """
-    gateway = world.members["gateway-south-tas-0"]
+    gateway = simulation.members["gateway-south-tas-0"]
     lost = "placer-south-tas-0"
     gateway.host_list.entries = [
         entry for entry in gateway.host_list.entries if entry.name != lost
     ]
     gateway.peers.refresh()
-    world.run(60)
+    simulation.run(60)
     gateway.peers.refresh()
     assert gateway.peers.owner_of("south-tas.0").name == lost
 
 
-def test_a_list_that_is_down_changes_nothing(world):
-    for member in world.members.values():
+def test_a_list_that_is_down_changes_nothing(simulation):
+    for member in simulation.members.values():
         member.host_list.is_down = True
         member.peers.refresh()
-    world.run(60)
-    assert world.members["gateway-south-tas-0"].live() == world.all_placers()
+    simulation.run(60)
+    assert simulation.members["gateway-south-tas-0"].live() == simulation.all_placers()
 
 
-def test_a_new_placer_is_known_once_the_lagging_list_names_it(world):
-    newcomer = world.add("placer-south-tas-9", "placer", SOUTH, [("south-tas.9", 1)])
-    world.run(10)
-    gateway = world.members["gateway-south-tas-0"]
+def test_a_new_placer_is_known_once_the_lagging_list_names_it(simulation):
+    newcomer = simulation.add(
+        "placer-south-tas-9", "placer", SOUTH, [("south-tas.9", 1)]
+    )
+    simulation.run(10)
+    gateway = simulation.members["gateway-south-tas-0"]
     assert newcomer.name not in gateway.live()
-    world.list_all()
-    world.run(1)
+    simulation.list_all()
+    simulation.run(1)
     assert gateway.peers.owner_of("south-tas.9").name == newcomer.name
 
 
-def test_of_two_that_claim_a_shard_the_higher_epoch_is_asked(world):
+def test_of_two_that_claim_a_shard_the_higher_epoch_is_asked(simulation):
     """A frozen owner wakes and still claims what was taken over from it."""
-    world.members["placer-south-tas-1"].shards.append(("south-tas.0", 2))
-    world.run(2)
-    gateway = world.members["gateway-south-tas-0"].peers
+    simulation.members["placer-south-tas-1"].shards.append(("south-tas.0", 2))
+    simulation.run(2)
+    gateway = simulation.members["gateway-south-tas-0"].peers
     assert gateway.owner_of("south-tas.0").name == "placer-south-tas-1"
 
 
-def test_a_silent_placer_is_nobodys_preferred_owner(world):
-    world.members["placer-south-tas-0"].is_down = True
-    world.run(DEAD_AFTER + 0.5)
-    peers = world.members["placer-south-tas-1"].peers
+def test_a_silent_placer_is_nobodys_preferred_owner(simulation):
+    simulation.members["placer-south-tas-0"].is_down = True
+    simulation.run(DEAD_AFTER + 0.5)
+    peers = simulation.members["placer-south-tas-1"].peers
     live = [peer.entry for peer in peers.live()]
     for number in range(32):
         owner = preferred_owner(f"{SOUTH}.{number}", live)
--- a/tests/ownership/parts.py
+++ b/tests/ownership/small_cell.py
@@ -39,7 +39,7 @@
         self.instances = InstanceClient(pool)
         self.executor = ThreadPoolExecutor(4)
         self._shards = []
-        self.keeper = HostReconciler(self.workers, self.instances, self.executor)
+        self.reconciler = HostReconciler(self.workers, self.instances, self.executor)
         self.entries = [
             *(_entry(name, "worker", CAPACITY) for name in workers),
             _entry("counts-1", "instance", {"slots": 1, "connections": 4}),
@@ -84,7 +84,7 @@
         return shard
 
     def refresh(self, shard):
-        self.keeper.refresh(shard, self.entries, 1)
+        self.reconciler.refresh(shard, self.entries, 1)
 
     def start(self, shard, task, demand):
         """Send the start of a task as the shard's owner."""
--- a/tests/ownership/test_grants.py
+++ b/tests/ownership/test_grants.py
@@ -2,7 +2,7 @@
 
 from papayapick.routing import Grant, GrantExpired
 from papayapick.wire.messages import SlotRequest
-from tests.ownership.parts import SmallCell
+from tests.ownership.small_cell import SmallCell
 
 WINDOW = 0.5
 
--- a/tests/ownership/test_leases.py
+++ b/tests/ownership/test_leases.py
@@ -6,7 +6,7 @@
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.work import WorkDispatcher
 from tests.fakes.pool import InProcessPool
-from tests.ownership.parts import CAPACITY, SmallCell
+from tests.ownership.small_cell import CAPACITY, SmallCell
 
 LEASE = 10.0
 
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -8,7 +8,7 @@
 from papayapick.ownership import OwnershipUnconfirmed
 from papayapick.placer.exceptions import SlotWaitExpired
 from papayapick.wire.messages import SlotRequest
-from tests.ownership.parts import CAPACITY, SmallCell
+from tests.ownership.small_cell import CAPACITY, SmallCell
 
 WHOLE = Amounts.from_mapping(CAPACITY)
 
