--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -14,7 +14,7 @@
 from papayapick.bundle import Bundle, Envelope, KeyRing, generate_key, sign
 from papayapick.clients import HostEntry
 from papayapick.clock import ManualClock
-from papayapick.journal import Accepted, Ended, Journal, Started, WorkBook
+from papayapick.journal import Accepted, Ended, Journal, Started, WorkIndex
 from papayapick.ledger import Amounts, HostLedger, SlotLedger
 from papayapick.limits import TokenBucket
 from papayapick.ownership.queries import ShardRow
@@ -152,10 +152,10 @@
         )
     del records
     tracemalloc.start()
-    book, before = WorkBook(), _held()
+    work_index, before = WorkIndex(), _held()
     for number in range(5000):
         for record in _records(number):
-            book.apply(record)
+            work_index.apply(record)
     per_item = (_held() - before) / 5000
     tracemalloc.stop()
     yield _row(
--- a/papayapick/journal/__init__.py
+++ b/papayapick/journal/__init__.py
@@ -16,7 +16,7 @@
     Started,
     record_from_mapping,
 )
-from papayapick.journal.work import WorkBook, WorkItem
+from papayapick.journal.work import WorkIndex, WorkItem
 from papayapick.journal.writer import Journal
 
 __all__ = [
@@ -31,7 +31,7 @@
     "KeyReused",
     "Record",
     "Started",
-    "WorkBook",
+    "WorkIndex",
     "WorkItem",
     "WorkUnknown",
     "record_from_mapping",
--- a/papayapick/journal/commands.py
+++ b/papayapick/journal/commands.py
@@ -5,10 +5,10 @@
 from papayapick.clients import Condition, TableUnavailable, Write
 from papayapick.journal.queries import snapshot_key
 
-__all__ = ["MOST_DELETED", "write_snapshot"]
+__all__ = ["MAX_DELETED_ROWS", "write_snapshot"]
 
 # Rows deleted in one transaction with the snapshot's row.
-MOST_DELETED = 500
+MAX_DELETED_ROWS = 500
 
 
 def write_snapshot(table, objects, owned, records, keys, version, name):
@@ -27,7 +27,7 @@
     records : list of Record
         What all the segments amount to.
     keys : list of str
-        Of the segments to delete, oldest first, at most ``MOST_DELETED``.
+        Of the segments to delete, oldest first, at most ``MAX_DELETED_ROWS``.
     version : int
         Of the snapshot's row as it was read, 0 where there is none.
     name : str
--- a/papayapick/journal/entries.py
+++ b/papayapick/journal/entries.py
@@ -12,11 +12,11 @@
     ``settled`` gets True or False once it is known.
     """
 
-    __slots__ = ("must_last", "record", "settled", "written")
+    __slots__ = ("must_persist", "record", "settled", "written")
 
-    def __init__(self, record, must_last=False):
+    def __init__(self, record, must_persist=False):
         self.record = record
-        self.must_last = must_last
+        self.must_persist = must_persist
         self.written = Future()
         self.settled = Future()
 
--- a/papayapick/journal/queries.py
+++ b/papayapick/journal/queries.py
@@ -3,7 +3,7 @@
 import json
 
 from papayapick.journal.records import record_from_mapping
-from papayapick.journal.work import WorkBook
+from papayapick.journal.work import WorkIndex
 
 __all__ = [
     "JournalState",
@@ -34,17 +34,17 @@
 
     Parameters
     ----------
-    book : WorkBook
+    work_index : WorkIndex
     keys : list of str
         Of the segments, oldest first.
     snapshot_version : int
         Of the row that names the snapshot, 0 where there is none.
     """
 
-    __slots__ = ("book", "keys", "snapshot_version")
+    __slots__ = ("keys", "snapshot_version", "work_index")
 
-    def __init__(self, book, keys, snapshot_version):
-        self.book = book
+    def __init__(self, work_index, keys, snapshot_version):
+        self.work_index = work_index
         self.keys = keys
         self.snapshot_version = snapshot_version
 
@@ -60,15 +60,15 @@
     ------
     TableUnavailable, ObjectsUnavailable, ObjectMissing
     """
-    book = WorkBook()
+    work_index = WorkIndex()
     snapshot = table.read(snapshot_key(shard))
     if snapshot is not None:
         for found in json.loads(objects.get(snapshot.value["object"])):
-            book.apply(record_from_mapping(found))
+            work_index.apply(record_from_mapping(found))
     rows = table.scan(journal_prefix(shard))
     for row in rows:
         for found in row.value["records"]:
-            book.apply(record_from_mapping(found))
-    book.note_earlier_starts()
+            work_index.apply(record_from_mapping(found))
+    work_index.mark_started_as_run()
     version = snapshot.version if snapshot is not None else 0
-    return JournalState(book, [row.key for row in rows], version)
+    return JournalState(work_index, [row.key for row in rows], version)
--- a/papayapick/journal/segments.py
+++ b/papayapick/journal/segments.py
@@ -1,7 +1,7 @@
 """Know which segments a journal has, and when to fold them into a snapshot."""
 
 from papayapick.clients import Condition
-from papayapick.journal.commands import MOST_DELETED, write_snapshot
+from papayapick.journal.commands import MAX_DELETED_ROWS, write_snapshot
 from papayapick.journal.queries import segment_key, snapshot_key
 
 __all__ = ["Segments"]
@@ -32,7 +32,7 @@
         """Return the key of the segment that is written next."""
         return segment_key(self._owned.shard, self._owned.epoch, self._next)
 
-    def go_on_from(self, state):
+    def resume_from(self, state):
         """Continue the journal that was read; before the first record."""
         self._keys = list(state.keys)
         self._snapshot_version = state.snapshot_version
@@ -65,7 +65,7 @@
             segments costs more bytes than the segments.
         """
         count = len(self._keys)
-        if count >= MOST_DELETED:
+        if count >= MAX_DELETED_ROWS:
             return True
         return count >= _SEGMENTS_PER_SNAPSHOT and self._records >= items / 2
 
@@ -86,7 +86,7 @@
         """
         owned = self._owned
         name = f"snapshot/{owned.shard}/{owned.epoch:010d}/{self._next:010d}"
-        keys = self._keys[:MOST_DELETED]
+        keys = self._keys[:MAX_DELETED_ROWS]
         self._snapshot_version = write_snapshot(
             table, objects, owned, records, keys, self._snapshot_version, name
         )
--- a/papayapick/journal/work.py
+++ b/papayapick/journal/work.py
@@ -3,7 +3,7 @@
 from papayapick.journal.exceptions import KeyReused, WorkUnknown
 from papayapick.journal.records import Accepted, Cancelled, Started
 
-__all__ = ["ENDED", "RUNNING", "WAITING", "WorkBook", "WorkItem"]
+__all__ = ["ENDED", "RUNNING", "WAITING", "WorkIndex", "WorkItem"]
 
 WAITING = "waiting"
 RUNNING = "running"
@@ -48,7 +48,7 @@
         return self.started.attempt if self.started else 0
 
     @property
-    def refusal(self):
+    def refusal_outcome(self):
         """Return the outcome of giving up now."""
         return UNKNOWN if self.may_have_run else NOT_RUN
 
@@ -58,7 +58,7 @@
         return [record for record in found if record is not None]
 
 
-class WorkBook:
+class WorkIndex:
     """Hold the requests of one shard by id."""
 
     __slots__ = ("_items",)
@@ -94,7 +94,7 @@
         else:
             item.ended = record
 
-    def note_earlier_starts(self):
+    def mark_started_as_run(self):
         """Take every start for a run: its owner's knowledge died with it."""
         for item in self._items.values():
             item.may_have_run = item.started is not None
@@ -113,7 +113,7 @@
         except KeyError:
             raise WorkUnknown(request_id=request_id) from None
 
-    def find_repeat(self, request_id, payload_digest):
+    def find_duplicate(self, request_id, payload_digest):
         """Return a request seen before under the same key, or None.
 
         Raises
@@ -126,7 +126,7 @@
             raise KeyReused(request_id=request_id)
         return item
 
-    def forget_before(self, time):
+    def remove_ended_before(self, time):
         """Drop the requests that ended before a time, in seconds since the epoch."""
         for request_id, item in list(self._items.items()):
             if item.ended is not None and item.ended.time < time:
--- a/papayapick/journal/writer.py
+++ b/papayapick/journal/writer.py
@@ -117,13 +117,13 @@
         with self._lock:
             return not (self._entries or self._is_writing)
 
-    def append(self, record, must_last=False):
+    def append(self, record, must_persist=False):
         """Queue a record.
 
         Parameters
         ----------
         record : Record
-        must_last : bool
+        must_persist : bool
             Take the record even during an outage: an outcome is known already
             and is written as soon as the table is back.
 
@@ -141,9 +141,9 @@
         with self._lock:
             if self._is_fenced or self._is_closed:
                 raise JournalFenced(shard=self._owned.shard)
-            if self._is_settling and not must_last:
+            if self._is_settling and not must_persist:
                 raise JournalUnavailable(shard=self._owned.shard)
-            entry = Entry(record, must_last)
+            entry = Entry(record, must_persist)
             self._entries.append(entry)
         self._wakeup.set()
         return entry
@@ -161,9 +161,9 @@
             except (TableUnavailable, ObjectsUnavailable):
                 _LOG.info("compaction put off", extra={"shard": self._owned.shard})
 
-    def go_on_from(self, state):
+    def resume_from(self, state):
         """Continue the journal that was read; before the first record."""
-        self._segments.go_on_from(state)
+        self._segments.resume_from(state)
 
     def is_compaction_due(self, items):
         """Return whether folding saves more than it costs; see ``Segments``."""
@@ -280,8 +280,8 @@
         # long as the outage; none of it has left this process.
         with self._lock:
             self._is_settling = True
-            refused = [entry for entry in self._entries if not entry.must_last]
-            self._entries = [entry for entry in self._entries if entry.must_last]
+            refused = [entry for entry in self._entries if not entry.must_persist]
+            self._entries = [entry for entry in self._entries if entry.must_persist]
         for entry in refused:
             entry.fail(JournalUnavailable(shard=self._owned.shard))
 
--- a/papayapick/placer/jobs.py
+++ b/papayapick/placer/jobs.py
@@ -71,7 +71,7 @@
         self._process.executor.submit(self.start_waiting, shard)
 
     def _settle(self, shard, running, reports):
-        item = shard.book.get(running.job.name)
+        item = shard.work_index.get(running.job.name)
         if item.started is None or item.ended is not None:
             return
         if running.is_given_up:
@@ -86,7 +86,7 @@
         now = self._process.clock.time()
         shard.jobs.use_bundle(self._process.watcher.bundle)
         for name in shard.jobs.take_overdue(now):
-            self._end_overdue(shard, shard.book.get(name))
+            self._end_overdue(shard, shard.work_index.get(name))
         starts = self._choose_starts(shard, now)
         # All starts are journaled before any is waited for, so that they share a
         # segment and thus one write.
@@ -95,7 +95,7 @@
         def start_one(journaled):
             start, entry = journaled
             if entry is not None and self._wait_until_durable(shard, start, entry):
-                self._start_members(shard, shard.book.get(start.job.name), start)
+                self._start_members(shard, shard.work_index.get(start.job.name), start)
 
         in_parallel(self._process.executor, start_one, entries)
         for running in shard.jobs.choose_pauses(now):
@@ -104,7 +104,7 @@
     @staticmethod
     def _choose_starts(shard, now):
         def is_ended(name):
-            return shard.book.get(name).ended is not None
+            return shard.work_index.get(name).ended is not None
 
         starts = shard.jobs.choose_starts(now)
         name = shard.jobs.promised
@@ -152,10 +152,10 @@
     def _end_overdue(self, shard, item):
         if item.ended is not None:
             return
-        self.end(shard, item, item.refusal, "work.deadline-over")
+        self.end(shard, item, item.refusal_outcome, "work.deadline-over")
 
     def _journal_start(self, shard, start):
-        item = shard.book.get(start.job.name)
+        item = shard.work_index.get(start.job.name)
         if item.ended is not None:
             shard.jobs.finish(item.request_id)
             return None
@@ -169,7 +169,7 @@
             return None
 
     def _wait_until_durable(self, shard, start, entry):
-        item = shard.book.get(start.job.name)
+        item = shard.work_index.get(start.job.name)
         try:
             entry.written.result()
         except JournalUnsettled:
@@ -203,7 +203,7 @@
             self._give_up(shard, item, running)
 
     def _pause(self, shard, running):
-        item = shard.book.get(running.job.name)
+        item = shard.work_index.get(running.job.name)
         try:
             self._members.checkpoint(shard, running)
         except PlatformError as error:
--- a/papayapick/placer/outcomes.py
+++ b/papayapick/placer/outcomes.py
@@ -20,7 +20,7 @@
     ended : Ended
     """
     try:
-        entry = shard.journal.append(ended, must_last=True)
+        entry = shard.journal.append(ended, must_persist=True)
     except JournalError as error:
         # A newer owner determines the outcome from the journaled start or from the
         # workers. This process can't know it.
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -214,7 +214,7 @@
         return document["topology"]["shards_per_zone"]
 
     def _resume(self, shard):
-        for item in shard.book.items:
+        for item in shard.work_index.items:
             runner = self._runner_of(item)
             if item.state == "waiting":
                 self._dispatcher.enqueue(shard, item)
--- a/papayapick/placer/requests.py
+++ b/papayapick/placer/requests.py
@@ -54,14 +54,14 @@
             return
         policy = self._process.watcher.bundle.services.get(item.accepted.name)
         if policy is None:
-            self.end(shard, item, item.refusal, detail="work.service-removed")
+            self.end(shard, item, item.refusal_outcome, detail="work.service-removed")
             return
         if item.may_have_run and not item.accepted.repeatable:
             # It must not be sent a second time, for whatever reason it was queued.
             self.end(shard, item, UNKNOWN, detail="work.outcome-lost")
             return
         if self._process.clock.time() >= item.accepted.deadline:
-            self.end(shard, item, item.refusal, detail="work.deadline-over")
+            self.end(shard, item, item.refusal_outcome, detail="work.deadline-over")
             return
         try:
             grant = self._acquire(item, policy)
--- a/papayapick/placer/shards.py
+++ b/papayapick/placer/shards.py
@@ -1,7 +1,7 @@
 """The state of one shard while this process owns it."""
 
 from papayapick.estimates import ObservedQuantile
-from papayapick.journal import Journal, WorkBook
+from papayapick.journal import Journal, WorkIndex
 from papayapick.ledger import Amounts, HostLedger, SlotLedger
 from papayapick.ownership import OwnershipUnconfirmed
 from papayapick.placement import FailureTracker, HealthAware, InstanceHealth, JobQueue
@@ -36,7 +36,6 @@
         "_is_closed",
         "_objects",
         "_pauses",
-        "book",
         "entries",
         "estimates",
         "failures",
@@ -46,6 +45,7 @@
         "journal",
         "row",
         "slot_allocator",
+        "work_index",
     )
 
     def __init__(self, row, process, journal_bucket, on_fenced):
@@ -62,7 +62,7 @@
             process.clock,
             process.generator,
         )
-        self.book = WorkBook()
+        self.work_index = WorkIndex()
         self.journal = Journal(
             process.table,
             row,
@@ -170,11 +170,11 @@
 
     def use_journal(self, state):
         """Load the work and journal position of an earlier owner."""
-        self.book = state.book
-        self.journal.go_on_from(state)
+        self.work_index = state.work_index
+        self.journal.resume_from(state)
 
     def _apply(self, record):
-        self.book.apply(record)
+        self.work_index.apply(record)
 
     def _compact(self):
         """Compact the journal if that is due.
@@ -182,8 +182,12 @@
         The journal calls this from its own thread between two segments, so that
         the loaded work corresponds exactly to the segments written so far.
         """
-        if not self.journal.is_compaction_due(len(self.book)):
+        if not self.journal.is_compaction_due(len(self.work_index)):
             return
-        self.book.forget_before(self._clock.time() - OUTCOME_RETENTION_SECONDS)
-        records = [record for item in self.book.items for record in item.records()]
+        self.work_index.remove_ended_before(
+            self._clock.time() - OUTCOME_RETENTION_SECONDS
+        )
+        records = [
+            record for item in self.work_index.items for record in item.records()
+        ]
         self.journal.compact(self._objects, records)
--- a/papayapick/placer/work.py
+++ b/papayapick/placer/work.py
@@ -90,12 +90,12 @@
         answer = Future()
         digest = submission.payload_digest or digest_of(submission.payload)
         stored = None
-        if shard.book.find_repeat(submission.request_id, digest) is None:
+        if shard.work_index.find_duplicate(submission.request_id, digest) is None:
             # Outside the lock, since a slow object store would block all other
             # submissions.
             stored = inline_or_object(self._process.objects, submission.payload)
         with self._lock:
-            item = shard.book.find_repeat(submission.request_id, digest)
+            item = shard.work_index.find_duplicate(submission.request_id, digest)
             written = None
             if item is None:
                 written = self._pending_or_accept(
@@ -110,7 +110,7 @@
             if error is not None:
                 answer.set_exception(error)
                 return
-            item = shard.book.get(submission.request_id)
+            item = shard.work_index.get(submission.request_id)
             self._answer_or_wait(shard, item, submission.wait_milliseconds, answer)
 
         written.add_done_callback(answer_when_written)
@@ -118,7 +118,7 @@
 
     def find(self, shard, request_id):
         """Return a request; raise WorkUnknown."""
-        return shard.book.get(request_id)
+        return shard.work_index.get(request_id)
 
     def cancel(self, shard, request_id):
         """Cancel a request that has not been started.
@@ -137,7 +137,7 @@
         WorkUnknown, JournalUnavailable, JournalFenced
         """
         answer = Future()
-        item = shard.book.get(request_id)
+        item = shard.work_index.get(request_id)
         if item.state != WAITING:
             self._resolve(item, answer)
             return answer
@@ -275,7 +275,7 @@
             # Also after a write whose answer was lost: the caller got "unknown",
             # and work that is in the journal has to be run.
             if done.result():
-                self.enqueue(shard, shard.book.get(record.request_id))
+                self.enqueue(shard, shard.work_index.get(record.request_id))
 
         entry.settled.add_done_callback(run_when_durable)
         return entry.written
@@ -288,7 +288,7 @@
         def settled(done):
             with self._lock:
                 self._cancelling.pop(request_id, None)
-            item = shard.book.get(request_id)
+            item = shard.work_index.get(request_id)
             if item.ended is not None:
                 self.answer_waiters(item)
 
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -250,7 +250,7 @@
             found = self.desk.take(0)
             if found is not None:
                 self._run(*found)
-            elif all(item.ended for item in self.shard.book.items):
+            elif all(item.ended for item in self.shard.work_index.items):
                 return
             else:
                 self.clock.advance(1.0)
@@ -330,7 +330,7 @@
                 self.clock.advance(0.3)
 
     def _resume(self, shard):
-        for item in shard.book.items:
+        for item in shard.work_index.items:
             if item.state == "waiting":
                 self.desk.enqueue(shard, item)
             elif item.state == "running":
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -52,14 +52,14 @@
     return answer.result().outcome or answer.result().state
 
 
-def check_truth(cell, request_id, outcome, book):
+def check_truth(cell, request_id, outcome, work_index):
     runs = cell.runs(request_id)
     assert runs <= 1
     if outcome == "not_run":
         assert runs == 0
     if outcome == "done":
         assert runs == 1
-    items = {item.request_id: item for item in book.items}
+    items = {item.request_id: item for item in work_index.items}
     item = items.get(request_id)
     if item is not None:
         assert item.ended is not None
@@ -93,7 +93,7 @@
             life = cell.start("placer-3")
             life.run_all()
         life.settle()
-        check_truth(cell, f"{SHARD}.k1", outcome, life.shard.book)
+        check_truth(cell, f"{SHARD}.k1", outcome, life.shard.work_index)
         return life
 
 
--- a/tests/failures/test_store_outage.py
+++ b/tests/failures/test_store_outage.py
@@ -88,7 +88,7 @@
         assert cell.runs(f"{SHARD}.k1") == 1
         life.end()
         successor = cell.start("placer-2")
-        assert successor.shard.book.get(f"{SHARD}.k1").ended.outcome == "done"
+        assert successor.shard.work_index.get(f"{SHARD}.k1").ended.outcome == "done"
 
 
 def test_outcome_known_in_the_middle_of_an_outage_is_kept():
@@ -101,7 +101,7 @@
         life = cell.start("placer-1", dict.fromkeys(range(2, 12), DOWN))
         answer = life.submit()
         life.settle()
-        item = life.shard.book.get(f"{SHARD}.k1")
+        item = life.shard.work_index.get(f"{SHARD}.k1")
         assert isinstance(life.submit(key="k2").exception(5), JournalUnsettled)
         with pytest.raises(JournalUnavailable):
             life.submit(key="k3")
@@ -118,7 +118,7 @@
             life.submit(key=f"k{number}", wait=0)
         life.settle()
         writes = cell.platform.table.writes
-        items = life.shard.book.items
+        items = life.shard.work_index.items
         with life.held():
             for item in items:
                 life.runner.end(life.shard, item, "unknown")
--- a/tests/failures/test_takeover.py
+++ b/tests/failures/test_takeover.py
@@ -107,11 +107,11 @@
     cell.platform.board.clear("objects")
     shard = life.owner.take_over(read_shard(life.process.table, SHARD))
     assert shard.epoch == before.shard.epoch + 1
-    assert len(shard.book) == 70
+    assert len(shard.work_index) == 70
 
 
 def records_of(life):
-    return [one for item in life.shard.book.items for one in item.records()]
+    return [one for item in life.shard.work_index.items for one in item.records()]
 
 
 def test_worker_that_cannot_be_reached_counts_as_full(cell):
--- a/tests/journal/test_writer.py
+++ b/tests/journal/test_writer.py
@@ -53,7 +53,7 @@
         self.table, self.objects = table, objects
         self.row = claim(table, read_shard(table, SHARD), host)
         state = read_journal(table, objects, SHARD)
-        self.book = state.book
+        self.work_index = state.work_index
         clock = ManualClock()
         self.journal = Journal(
             table,
@@ -61,9 +61,9 @@
             clock,
             0.0,
             TokenBucket(1e6, 1e6, clock),
-            on_written=self.book.apply,
+            on_written=self.work_index.apply,
         )
-        self.journal.go_on_from(state)
+        self.journal.resume_from(state)
 
     def write(self, *records):
         entries = [self.journal.append(record) for record in records]
@@ -71,7 +71,7 @@
         return entries
 
     def compact(self):
-        records = [one for item in self.book.items for one in item.records()]
+        records = [one for item in self.work_index.items for one in item.records()]
         self.journal.compact(self.objects, records)
 
 
@@ -85,10 +85,10 @@
     return Accepted(name, "request", "s", "c", "", "", "d", 1e9, False)
 
 
-def states(book):
+def states(work_index):
     return {
         item.request_id: (item.state, item.ended and item.ended.outcome)
-        for item in book.items
+        for item in work_index.items
     }
 
 
@@ -113,7 +113,7 @@
     with pytest.raises(JournalFenced):
         first.journal.append(accepted("r2"))
     second.write(accepted("r3"))
-    assert set(states(Owner(*store, "c").book)) == {"r3"}
+    assert set(states(Owner(*store, "c").work_index)) == {"r3"}
 
 
 def test_replaced_owner_folds_nothing(store):
@@ -129,7 +129,7 @@
     first.compact()
     with pytest.raises(JournalFenced):
         first.journal.append(accepted("r2"))
-    assert states(Owner(*store, "c").book) == {"r1": ("ended", "done")}
+    assert states(Owner(*store, "c").work_index) == {"r1": ("ended", "done")}
 
 
 def test_records_are_refused_while_the_fate_of_others_is_open(store):
@@ -142,7 +142,7 @@
     assert isinstance(entry.written.exception(0), JournalUnsettled)
     with pytest.raises(JournalUnavailable):
         owner.journal.append(accepted("r2"))
-    owner.journal.append(Ended("r1", "done", 0.0), must_last=True)
+    owner.journal.append(Ended("r1", "done", 0.0), must_persist=True)
 
 
 def test_write_that_comes_after_a_compaction_takes_no_effect(store):
@@ -164,7 +164,7 @@
     owner.compact()
     with pytest.raises(Exception, match="is not as the transaction expects"):
         table.catch_up()
-    assert states(Owner(*store, "b").book) == {"r1": ("waiting", None)}
+    assert states(Owner(*store, "b").work_index) == {"r1": ("waiting", None)}
 
 
 def wake_after(table, count):
@@ -204,9 +204,9 @@
     if is_again:
         owner.compact()
     owner.write(Ended("r1", "done", 1.0))
-    expected = states(owner.book)
+    expected = states(owner.work_index)
     assert expected["r1"] == ("ended", "done")
-    assert states(Owner(*store, "b").book) == expected
+    assert states(Owner(*store, "b").work_index) == expected
 
 
 def test_journal_and_snapshots_agree_whatever_is_folded_when(store):
@@ -227,9 +227,9 @@
         if generator.random() < 0.1:
             owner.compact()
         if generator.random() < 0.05:
-            expected = states(owner.book)
+            expected = states(owner.work_index)
             owner = Owner(*store, f"h{number}")
-            assert states(owner.book) == expected
+            assert states(owner.work_index) == expected
 
 
 def test_compaction_keeps_the_journal_short(store):
@@ -237,7 +237,7 @@
     owner = Owner(*store, "a")
     for number in range(1200):
         owner.write(accepted(f"r{number % 40}"), Ended(f"r{number % 40}", "done", 0.0))
-        if owner.journal.is_compaction_due(len(owner.book)):
+        if owner.journal.is_compaction_due(len(owner.work_index)):
             owner.compact()
     segments = [key for key in table.rows if key.startswith("journal/")]
     assert len(segments) < 128
@@ -247,9 +247,9 @@
     owner = Owner(*store, "a")
     owner.write(accepted("old"), accepted("new"), accepted("open"))
     owner.write(Ended("old", "done", 10.0), Ended("new", "done", 20.0))
-    owner.book.forget_before(15.0)
+    owner.work_index.remove_ended_before(15.0)
     owner.compact()
-    assert set(states(Owner(*store, "b").book)) == {"new", "open"}
+    assert set(states(Owner(*store, "b").work_index)) == {"new", "open"}
 
 
 class SlowTable(MemoryTable):
@@ -288,4 +288,4 @@
         table.may_go.set()
         written.result(10)
         flushed.result(10)
-    assert "r1" in [item.request_id for item in owner.book.items]
+    assert "r1" in [item.request_id for item in owner.work_index.items]
--- a/tests/management/test_request.py
+++ b/tests/management/test_request.py
@@ -6,7 +6,7 @@
 
 from demo.cells import http_call
 from papayapick.clock import ManualClock
-from papayapick.journal import Accepted, Ended, Started, WorkBook
+from papayapick.journal import Accepted, Ended, Started, WorkIndex
 from papayapick.ledger import Amounts, HostLedger
 from papayapick.management.commands.request import RequestCommand
 from papayapick.placer.explanations import explain
@@ -169,12 +169,12 @@
     ids=[row[0] for row in EXPLANATIONS],
 )
 def test_explanation_names_the_cause(shard, job, records, codes, text):
-    book = WorkBook()
+    work_index = WorkIndex()
     deadline = ManualClock().time() + 60
     accepted = Accepted("r1", "request", "counts", "c", "", "", "d", deadline, True)
     accepted.job = job
     for record in (accepted, *records):
-        book.apply(record)
-    found = explain(shard, book.get("r1"))
+        work_index.apply(record)
+    found = explain(shard, work_index.get("r1"))
     assert [reason.code for reason in found] == codes
     assert text in found[0].text
--- a/tests/ownership/test_leases.py
+++ b/tests/ownership/test_leases.py
@@ -61,7 +61,7 @@
     record = Accepted("r", "job", "model", "", "", "", "", 9e9, True, job)
     owner.shard.journal.append(record)
     owner.shard.journal.write_segment()
-    item = owner.shard.book.get("r")
+    item = owner.shard.work_index.get("r")
     task = owner.run(item)
     assert places(cell) == 1
     return task
@@ -127,7 +127,7 @@
     # The worker has not heard of B: its fence is still at A's epoch.
     cell.platform.workers._workers[host_of(earlier)].epoch = earlier.shard.epoch
     successor.read_journal()
-    successor.runner.recover(successor.shard, successor.shard.book.get("r"))
+    successor.runner.recover(successor.shard, successor.shard.work_index.get("r"))
     for _ in range(8):
         cell.clock.advance(LEASE * 0.4)
         earlier.renew()
@@ -137,7 +137,7 @@
 
 
 def host_of(owner):
-    return owner.shard.book.get("r").started.places[0]["host"]
+    return owner.shard.work_index.get("r").started.places[0]["host"]
 
 
 def test_a_job_whose_worker_is_off_the_list_waits(cell):
@@ -149,7 +149,7 @@
     cell.entries = [entry for entry in cell.entries if entry.name != host_of(earlier)]
     successor = Owner(cell, "placer-b")
     successor.read_journal()
-    successor.runner.recover(successor.shard, successor.shard.book.get("r"))
+    successor.runner.recover(successor.shard, successor.shard.work_index.get("r"))
     for _ in range(8):
         cell.clock.advance(LEASE * 0.4)
         earlier.renew()
--- a/tests/placer/jobcells.py
+++ b/tests/placer/jobcells.py
@@ -130,7 +130,7 @@
             self.step()
 
     def item(self, name):
-        return self.shard.book.get(name)
+        return self.shard.work_index.get(name)
 
     def ended(self, name):
         ended = self.item(name).ended
@@ -150,7 +150,7 @@
 
     __slots__ = ()
 
-    def append(self, record, must_last=False):
-        entry = super().append(record, must_last)
+    def append(self, record, must_persist=False):
+        entry = super().append(record, must_persist)
         self.write_segment()
         return entry
--- a/tests/placer/test_jobs.py
+++ b/tests/placer/test_jobs.py
@@ -256,11 +256,11 @@
         self.journal = journal
         self.lost = []
 
-    def append(self, record, must_last=False):
+    def append(self, record, must_persist=False):
         if isinstance(record, Ended) and not self.lost:
             self.lost.append(SimpleNamespace(settled=Future()))
             return self.lost[0]
-        return self.journal.append(record, must_last)
+        return self.journal.append(record, must_persist)
 
 
 @pytest.mark.parametrize(
--- a/tests/placer/test_slots_durable.py
+++ b/tests/placer/test_slots_durable.py
@@ -10,7 +10,7 @@
 from papayapick.clients import AnswerMissing, NotSent, StaleEpoch
 from papayapick.clients.http import HttpAnswer
 from papayapick.clock import ManualClock
-from papayapick.journal import Accepted, WorkBook
+from papayapick.journal import Accepted, WorkIndex
 from papayapick.placer.requests import RequestRunner
 from papayapick.routing import Grant
 from papayapick.wire.messages import SlotGrant
@@ -19,11 +19,11 @@
 class FakeJournal:
     """Apply each record at once."""
 
-    def __init__(self, book):
-        self.book = book
+    def __init__(self, work_index):
+        self.work_index = work_index
 
-    def append(self, record, must_last=False):
-        self.book.apply(record)
+    def append(self, record, must_persist=False):
+        self.work_index.apply(record)
         written = Future()
         written.set_result(True)
         return SimpleNamespace(written=written, settled=written)
@@ -42,8 +42,8 @@
             objects=None,
             watcher=SimpleNamespace(bundle=bundle),
         )
-        book = WorkBook()
-        book.apply(
+        work_index = WorkIndex()
+        work_index.apply(
             Accepted(
                 request_id="r1",
                 work="request",
@@ -57,8 +57,8 @@
                 job=None,
             )
         )
-        self.shard = SimpleNamespace(is_closed=False, journal=FakeJournal(book))
-        self.item = book.get("r1")
+        self.shard = SimpleNamespace(is_closed=False, journal=FakeJournal(work_index))
+        self.item = work_index.get("r1")
         desk = SimpleNamespace(
             enqueue=lambda *arguments: None, answer_waiters=lambda item: None
         )
--- a/tests/placer/test_work.py
+++ b/tests/placer/test_work.py
@@ -65,7 +65,7 @@
     life.settle()
     assert cell.runs(ID) == 1
     assert cancelled.result(0).outcome != "not_run"
-    assert life.shard.book.get(ID).ended.outcome == "done"
+    assert life.shard.work_index.get(ID).ended.outcome == "done"
 
 
 def test_cancellation_before_the_start_sends_nothing(cell):
@@ -101,7 +101,7 @@
     cell.clock.advance(700)
     life.run_all()
     life.settle()
-    assert life.shard.book.get(ID).ended.outcome == "unknown"
+    assert life.shard.work_index.get(ID).ended.outcome == "unknown"
 
 
 def test_deadline_before_any_send_is_not_run(cell):
@@ -114,7 +114,7 @@
     life.run_all()
     life.settle()
     assert cell.runs(ID) == 0
-    assert life.shard.book.get(ID).ended.outcome == "not_run"
+    assert life.shard.work_index.get(ID).ended.outcome == "not_run"
 
 
 @pytest.mark.parametrize("fault", [DOWN, LOST, LATE])
@@ -151,7 +151,7 @@
     life.run_next()
     life.settle()
     assert answer.exception(5).outcome == "unknown"
-    assert life.shard.book.get(ID).ended.outcome == "done"
+    assert life.shard.work_index.get(ID).ended.outcome == "done"
 
 
 def test_error_in_a_runner_neither_loses_nor_repeats_work(cell):
@@ -177,7 +177,7 @@
         life.submit(DEFERRED, key=f"c{number}", wait=0)
     life.settle()
     writes = cell.platform.table.writes
-    ids = [item.request_id for item in life.shard.book.items]
+    ids = [item.request_id for item in life.shard.work_index.items]
     with life.held():
         answers = [life.desk.cancel(life.shard, request_id) for request_id in ids]
         again = life.desk.cancel(life.shard, ids[0])
@@ -195,5 +195,5 @@
     life.submit(ONCE)
     life.settle()
     life.run_next()
-    assert life.shard.book.get(ID).state == RUNNING
-    assert not life.shard.book.get(ID).may_have_run
+    assert life.shard.work_index.get(ID).state == RUNNING
+    assert not life.shard.work_index.get(ID).may_have_run
--- a/tests/spec/test_journal_replay.py
+++ b/tests/spec/test_journal_replay.py
@@ -84,7 +84,7 @@
 
     def journaled(self):
         """Return what a successor would read."""
-        return read_journal(self.table, self.process.objects, SHARD).book
+        return read_journal(self.table, self.process.objects, SHARD).work_index
 
     def submit(self, policy, steps=()):
         """Submit work "r"; the write of its acceptance goes as ``steps`` say."""
@@ -118,7 +118,7 @@
 
     @property
     def item(self):
-        return self.shard.book.get("r")
+        return self.shard.work_index.get("r")
 
 
 @pytest.fixture
@@ -143,7 +143,7 @@
         with pytest.raises(TransactionConflict):
             life.table.apply_late()
     assert len(life.journaled()) == arrives
-    assert len(life.shard.book) == arrives
+    assert len(life.shard.work_index) == arrives
 
 
 def test_nothing_is_sent_before_the_start_is_durable(life):
