--- a/papayapick/gateway/admission.py
+++ b/papayapick/gateway/admission.py
@@ -10,11 +10,11 @@
     KeyMissing,
     RequestInvalid,
     ServiceNotInBundle,
-    WorkTooLarge,
+    TooManyMembers,
 )
 from papayapick.ledger import Amounts
 
-__all__ = ["Admitted", "admit", "shard_for_key"]
+__all__ = ["AdmittedRequest", "admit", "shard_for_key"]
 
 _KEY_LIMIT = 128
 _NAME_LIMIT = 64
@@ -22,7 +22,7 @@
 _DEMANDS = ("processors", "memory", "accelerators")
 
 
-class Admitted:
+class AdmittedRequest:
     """Hold a checked request.
 
     Parameters
@@ -102,7 +102,7 @@
 
     Returns
     -------
-    Admitted
+    AdmittedRequest
 
     Raises
     ------
@@ -127,7 +127,7 @@
     request_id, shard = uuid.uuid4().hex, ""
     if policy.is_durable:
         request_id, shard = _durable_identity(bundle, caller, name, key)
-    return Admitted(request_id, shard, name, policy, caller, payload, timeout)
+    return AdmittedRequest(request_id, shard, name, policy, caller, payload, timeout)
 
 
 def _admit_job(environ, bundle, found, caller, key):
@@ -137,7 +137,7 @@
     if not isinstance(members, int) or isinstance(members, bool) or members < 1:
         raise RequestInvalid(place="members", reason="a whole number from 1")
     if members > policy.members_limit:
-        raise WorkTooLarge(members=members, limit=policy.members_limit)
+        raise TooManyMembers(members=members, limit=policy.members_limit)
     job = {
         "members": members,
         "demand": _demand(found),
@@ -146,7 +146,9 @@
     timeout = _timeout(environ, policy.timeout_seconds, policy.timeout_seconds)
     request_id, shard = _durable_identity(bundle, caller, name, key)
     payload = json.dumps(job, sort_keys=True).encode()
-    return Admitted(request_id, shard, name, policy, caller, payload, timeout, job)
+    return AdmittedRequest(
+        request_id, shard, name, policy, caller, payload, timeout, job
+    )
 
 
 def _policy(policies, name, key):
--- a/papayapick/gateway/application.py
+++ b/papayapick/gateway/application.py
@@ -72,7 +72,7 @@
         with self._lock:
             self._in_flight += 1
         try:
-            answer = self._traced(environ)
+            answer = self._answer_traced(environ)
         finally:
             with self._lock:
                 self._in_flight -= 1
@@ -86,33 +86,33 @@
         answer = problem(error, uuid.uuid4().hex)
         return self._send(start_response, _status_line(answer), answer)
 
-    def _traced(self, environ):
+    def _answer_traced(self, environ):
         process = self._process
         traceparent = environ.get("HTTP_TRACEPARENT", "")
         request_id = uuid.uuid4().hex
-        began = self._access.start()
+        started_at = self._access.start()
         with (
-            process.tracing.span("gateway.request", traceparent) as hop,
+            process.tracing.span("gateway.request", traceparent) as request_span,
             log_fields(request_id=request_id, bundle_sequence=process.watcher.sequence),
         ):
-            answer = self._answer(environ, request_id, hop)
+            answer = self._answer(environ, request_id, request_span)
             answer.headers.append(("Trace-Id", process.tracing.trace_id()))
             method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
-            self._access.write(began, method, path, answer.status, answer.outcome)
+            self._access.write(started_at, method, path, answer.status, answer.outcome)
             return answer
 
-    def _answer(self, environ, request_id, hop):
+    def _answer(self, environ, request_id, request_span):
         try:
             return self._route(environ)
         except PapayapickError as error:
             answer = problem(error, request_id, _fallback_outcome(error))
             self._process.metrics.refusals.labels(error.code).inc()
-            hop.fail(error.code, answer.outcome)
+            request_span.fail(error.code, answer.outcome)
         except Exception:
             _LOG.exception("request failed")
             error = PapayapickError()
             answer = problem(error, request_id, _UNKNOWN)
-            hop.fail(error.code, answer.outcome)
+            request_span.fail(error.code, answer.outcome)
         return answer
 
     def _route(self, environ):
@@ -136,7 +136,7 @@
         if admitted.shard:
             note_fields(shard=admitted.shard)
         self._limits.admit(admitted.caller)
-        self._count_waiting(environ, admitted)
+        self._deduct_queue_time(environ, admitted)
         if admitted.is_durable:
             is_keyed = bool(environ.get("HTTP_IDEMPOTENCY_KEY"))
             answer = self._durable.submit(admitted, is_keyed)
@@ -146,7 +146,7 @@
         process.metrics.requests.labels(admitted.name, answer.outcome).inc()
         return answer
 
-    def _count_waiting(self, environ, admitted):
+    def _deduct_queue_time(self, environ, admitted):
         """Take the wait for a thread off the time that the caller allows."""
         now = self._process.clock.monotonic()
         admitted.timeout -= now - arrived_at(environ, now)
--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -6,8 +6,8 @@
 from papayapick.gateway.problems import Answer, problem
 from papayapick.gateway.submission import (
     ANSWER_SECONDS,
-    MOVED_SECONDS,
-    MOVED_WAIT_SECONDS,
+    MOVE_RETRY_SECONDS,
+    MOVE_TIMEOUT_SECONDS,
     Submission,
 )
 from papayapick.journal import WorkUnknown
@@ -46,7 +46,7 @@
 
         Parameters
         ----------
-        admitted : Admitted
+        admitted : AdmittedRequest
         is_keyed : bool
             Whether an earlier request may have had the same id.
 
@@ -57,51 +57,51 @@
         is_urgent = admitted.policy.urgency == "urgent"
         wait = admitted.timeout if is_urgent else 0.0
         submission = Submission(self._process, admitted, wait, is_keyed)
-        state = submission.settle()
+        state = submission.submit()
         location = [("Location", _PATH + admitted.request_id)]
         if state.state != ENDED:
             body = {"request": state.request_id, "state": state.state}
             return Answer.from_json(202, body, location, "accepted")
         if not is_urgent:
-            return self._report(state, location, status=202)
-        return self._whole(state, location)
+            return self._state_answer(state, location, status=202)
+        return self._result_answer(state, location)
 
     def query(self, request_id):
         """Return the state of a request, and its result once it has ended."""
-        shard = self._shard_of(request_id)
+        shard = self._shard_from_id(request_id)
         wanted = WorkQuery(shard=shard, request_id=request_id)
-        return self._report(self._ask(wanted, ANSWER_SECONDS))
+        return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
 
     def cancel(self, request_id):
         """Cancel a request; the answer tells whether it had started."""
-        shard = self._shard_of(request_id)
+        shard = self._shard_from_id(request_id)
         wanted = WorkCancel(shard=shard, request_id=request_id)
-        return self._report(self._ask(wanted, ANSWER_SECONDS))
+        return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
 
     def _ask(self, wanted, seconds):
         clock = self._process.clock
         traceparent = self._process.tracing.traceparent()
-        give_up = clock.monotonic() + MOVED_SECONDS
+        give_up_at = clock.monotonic() + MOVE_TIMEOUT_SECONDS
         while True:
             try:
                 peer = self._process.peers.owner_of(wanted.shard)
                 return peer.client.ask(wanted, seconds, traceparent)
             except (ShardUnserved, PeerUnreachable):
-                if clock.monotonic() >= give_up:
+                if clock.monotonic() >= give_up_at:
                     raise
             except PeerRefused as error:
-                if not has_moved(error) or clock.monotonic() >= give_up:
+                if not has_moved(error) or clock.monotonic() >= give_up_at:
                     raise
-            clock.wait(self._process.is_stopping, MOVED_WAIT_SECONDS)
+            clock.wait(self._process.is_stopping, MOVE_RETRY_SECONDS)
 
-    def _shard_of(self, request_id):
+    def _shard_from_id(self, request_id):
         shard = request_id.rpartition(".")[0]
         if shard not in self._process.watcher.bundle.shards():
             raise WorkUnknown(request_id=request_id[:_SHOWN_CHARACTERS])
         return shard
 
     @staticmethod
-    def _whole(state, location):
+    def _result_answer(state, location):
         if state.outcome == "done":
             return Answer(state.status, state.content_type, state.result, location)
         error = PeerRefused(
@@ -115,7 +115,7 @@
         return answer
 
     @staticmethod
-    def _report(state, headers=(), status=200):
+    def _state_answer(state, headers=(), status=200):
         body = {"request": state.request_id, "state": state.state}
         if state.state == ENDED:
             body["outcome"] = state.outcome
--- a/papayapick/gateway/exceptions.py
+++ b/papayapick/gateway/exceptions.py
@@ -14,7 +14,7 @@
     "PathUnknown",
     "RequestInvalid",
     "ServiceNotInBundle",
-    "WorkTooLarge",
+    "TooManyMembers",
 ]
 
 
@@ -60,7 +60,7 @@
     template = "the deadline is over already"
 
 
-class WorkTooLarge(GatewayError):
+class TooManyMembers(GatewayError):
     """Report a job with more members than its policy allows."""
 
     code = "request.members-over-limit"
--- a/papayapick/gateway/process.py
+++ b/papayapick/gateway/process.py
@@ -23,8 +23,8 @@
 _HEADER_LIMIT_BYTES = 32 << 10
 _CONNECTION_LIMIT = 1000
 _IDLE_SECONDS = 30
-_QUIET_SECONDS = 0.2
-_LOOK_SECONDS = 0.05
+_IDLE_BEFORE_CLOSE_SECONDS = 0.2
+_POLL_SECONDS = 0.05
 
 
 class Gateway:
@@ -90,16 +90,16 @@
         process = self._process
         process.is_draining = True
         deadline = process.clock.monotonic() + process.settings.drain_seconds
-        quiet_since = None
+        idle_since = None
         while process.clock.monotonic() < deadline:
             now = process.clock.monotonic()
-            if not self._is_quiet():
-                quiet_since = None
-            elif quiet_since is None:
-                quiet_since = now
-            elif now - quiet_since >= _QUIET_SECONDS:
+            if not self._is_idle():
+                idle_since = None
+            elif idle_since is None:
+                idle_since = now
+            elif now - idle_since >= _IDLE_BEFORE_CLOSE_SECONDS:
                 break
-            process.clock.wait(threading.Event(), _LOOK_SECONDS)
+            process.clock.wait(threading.Event(), _POLL_SECONDS)
         self._server.close()
         process.close()
 
@@ -107,7 +107,7 @@
         entries = self._process.peers.entries
         return sum(found.kind == GATEWAY_KIND and found.is_live for found in entries)
 
-    def _is_quiet(self):
+    def _is_idle(self):
         # An answer that a slow caller has not read yet lies in its channel.
         channels = list(self._server.active_channels.values())
         return not self._application.in_flight and all(
--- a/papayapick/gateway/submission.py
+++ b/papayapick/gateway/submission.py
@@ -18,21 +18,21 @@
 
 __all__ = [
     "ANSWER_SECONDS",
-    "MOVED_SECONDS",
-    "MOVED_WAIT_SECONDS",
+    "MOVE_TIMEOUT_SECONDS",
+    "MOVE_RETRY_SECONDS",
     "Submission",
 ]
 
 ANSWER_SECONDS = 1.5
 # Longer than two heartbeats across the link between regions, after which a
 # gateway there knows of a new owner.
-MOVED_SECONDS = 4.5
-MOVED_WAIT_SECONDS = 0.05
-_LOOK_SECONDS = 0.25
+MOVE_TIMEOUT_SECONDS = 4.5
+MOVE_RETRY_SECONDS = 0.05
+_POLL_SECONDS = 0.25
 _WORK_MOVED = "placer.work-moved"
 # A draining owner passes work on; what breaks behind it comes as its refusal. Told
 # to the caller, that was 504 with outcome unknown, though asking again settles it.
-_RELAYED_LOSSES = (PeerDisconnected.code, PeerTimeout.code)
+_RELAYED_LOSS_CODES = (PeerDisconnected.code, PeerTimeout.code)
 _WAITING = "waiting"
 _NOT_RUN = "not_run"
 
@@ -47,7 +47,7 @@
     Parameters
     ----------
     process : Process
-    admitted : Admitted
+    admitted : AdmittedRequest
     wait : float
         Seconds that the caller waits for the outcome, 0 for deferred work.
     is_keyed : bool
@@ -57,10 +57,10 @@
     __slots__ = (
         "_admitted",
         "_deadline",
-        "_give_up",
-        "_is_taken_on",
-        "_lost",
-        "_may_be_known",
+        "_give_up_at",
+        "_is_accepted",
+        "_loss",
+        "_may_be_duplicate",
         "_process",
         "_wait_until",
     )
@@ -71,12 +71,12 @@
         self._admitted = admitted
         self._deadline = process.clock.time() + admitted.timeout
         self._wait_until = now + wait
-        self._give_up = now + (wait or MOVED_SECONDS)
-        self._may_be_known = is_keyed
-        self._is_taken_on = False
-        self._lost = None
+        self._give_up_at = now + (wait or MOVE_TIMEOUT_SECONDS)
+        self._may_be_duplicate = is_keyed
+        self._is_accepted = False
+        self._loss = None
 
-    def settle(self):
+    def submit(self):
         """Return the state of the work as its owner tells it.
 
         Returns
@@ -97,32 +97,32 @@
             try:
                 return self._submit_once()
             except (PeerDisconnected, PeerTimeout) as error:
-                self._lost = error
+                self._loss = error
                 last = error
             except (ShardUnserved, PeerUnreachable) as error:
                 last = error
             except PeerRefused as error:
-                if error.refusal_code in _RELAYED_LOSSES:
-                    self._lost = error
+                if error.refusal_code in _RELAYED_LOSS_CODES:
+                    self._loss = error
                 elif not has_moved(error):
-                    if self._lost is not None and error.outcome == _NOT_RUN:
+                    if self._loss is not None and error.outcome == _NOT_RUN:
                         # The message whose answer was lost may still be read
                         # behind this one and be taken on.
-                        raise self._lost from error
+                        raise self._loss from error
                     raise
-                self._is_taken_on |= error.refusal_code == _WORK_MOVED
+                self._is_accepted |= error.refusal_code == _WORK_MOVED
                 last = error
-            if clock.monotonic() >= self._give_up:
-                return self._without_owner(last)
-            clock.wait(self._process.is_stopping, MOVED_WAIT_SECONDS)
+            if clock.monotonic() >= self._give_up_at:
+                return self._conclude_without_owner(last)
+            clock.wait(self._process.is_stopping, MOVE_RETRY_SECONDS)
 
-    def _without_owner(self, last):
+    def _conclude_without_owner(self, last):
         request_id = self._admitted.request_id
-        if self._is_taken_on:
+        if self._is_accepted:
             return WorkState(request_id=request_id, state=_WAITING)
-        if self._lost is not None:
-            raise self._lost
-        if self._may_be_known:
+        if self._loss is not None:
+            raise self._loss
+        if self._may_be_duplicate:
             raise OwnerMissing(request_id=request_id) from last
         raise last
 
@@ -131,22 +131,22 @@
         shard = self._admitted.shard
         peer = peers.owner_of(shard)
         now = self._process.clock.monotonic()
-        rest = max(0.0, self._wait_until - now)
+        remaining = max(0.0, self._wait_until - now)
         answer = peer.client.call(
-            self._message(rest), self._process.tracing.traceparent()
+            self._message(remaining), self._process.tracing.traceparent()
         )
-        give_up = now + rest + ANSWER_SECONDS
+        give_up_at = now + remaining + ANSWER_SECONDS
         while True:
             try:
-                return answer.result(_LOOK_SECONDS)
+                return answer.result(_POLL_SECONDS)
             except FutureTimeout:
-                is_over = self._process.clock.monotonic() >= give_up
-                if is_over or self._owner_is_another(peer):
+                is_over = self._process.clock.monotonic() >= give_up_at
+                if is_over or self._has_new_owner(peer):
                     raise PeerTimeout(
-                        address=peer.client.address, seconds=rest
+                        address=peer.client.address, seconds=remaining
                     ) from None
 
-    def _owner_is_another(self, peer):
+    def _has_new_owner(self, peer):
         # A frozen placer keeps its connections and answers nothing; its
         # successor can tell long before the caller's wait is over.
         try:
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -23,14 +23,14 @@
 __all__ = ["UrgentCalls"]
 
 _SERVER_ERROR = 500
-_SLOT_TRIES = 4
-_MOVED_WAIT_SECONDS = 0.02
+_SLOT_ATTEMPTS = 4
+_MOVE_RETRY_SECONDS = 0.02
 _SLOT_SHARE = 0.8
 DONE, LEAVING, FAILED = "done", "leaving", "failed"
 UNKNOWN, UNUSED, STALE = "unknown", "unused", "stale"
 
 
-class _Attempts:
+class _RequestState:
     """Hold what stays the same over the tries of one request."""
 
     __slots__ = ("admitted", "arrived", "avoid", "deadline", "error", "may_have_run")
@@ -70,7 +70,7 @@
 
         Parameters
         ----------
-        admitted : Admitted
+        admitted : AdmittedRequest
 
         Returns
         -------
@@ -82,84 +82,84 @@
             ``outcome`` tells what became of the work.
         """
         clock = self._process.clock
-        attempts = _Attempts(admitted, clock.monotonic())
+        state = _RequestState(admitted, clock.monotonic())
         budget = self._budgets.of(admitted.name)
         budget.earn()
         retries = admitted.policy.retries
-        number = moves = 0
+        number = void_slots = 0
         while True:
             is_last = number == retries or not budget.has_retry
             try:
-                return self._attempt(attempts, is_last)
+                return self._attempt(state, is_last)
             except (StaleEpoch, GrantExpired) as error:
                 # The slot was void, so this was no try. While a shard changes
                 # hands many requests meet that at once, and would use up the
                 # budget of retries.
-                self._note_error(attempts, error)
-                moves += 1
-                if self._may_move(attempts, moves):
+                self._note_error(state, error)
+                void_slots += 1
+                if self._may_replace_slot(state, void_slots):
                     continue
                 break
             except NotSent as error:
-                self._note_error(attempts, error)
+                self._note_error(state, error)
             except (AnswerMissing, AnswerInvalid) as error:
                 missing = CallAnswerMissing()
                 missing.__cause__ = error
-                attempts.may_have_run = True
-                self._note_error(attempts, missing)
+                state.may_have_run = True
+                self._note_error(state, missing)
             except BackendFailed as error:
-                attempts.may_have_run = True
-                self._note_error(attempts, error)
+                state.may_have_run = True
+                self._note_error(state, error)
             except PapayapickError as error:
                 # No slot for this try; what an earlier one did still stands.
-                self._note_error(attempts, error)
+                self._note_error(state, error)
                 break
-            if attempts.may_have_run and not admitted.policy.repeatable:
+            if state.may_have_run and not admitted.policy.repeatable:
                 break
-            if number == retries or clock.monotonic() >= attempts.deadline:
+            if number == retries or clock.monotonic() >= state.deadline:
                 break
             if not budget.spend():
                 break
             number += 1
-        raise attempts.error
+        raise state.error
 
-    def _may_move(self, attempts, moves):
+    def _may_replace_slot(self, state, void_slots):
         clock = self._process.clock
-        clock.wait(self._process.is_stopping, _MOVED_WAIT_SECONDS)
-        return moves < _SLOT_TRIES and clock.monotonic() < attempts.deadline
+        clock.wait(self._process.is_stopping, _MOVE_RETRY_SECONDS)
+        return void_slots < _SLOT_ATTEMPTS and clock.monotonic() < state.deadline
 
     @staticmethod
-    def _note_error(attempts, error):
+    def _note_error(state, error):
         """Keep the error that tells the caller the truth.
 
         A later try that was not sent must not turn into "not run" what an
         earlier try may have run.
         """
-        kept = attempts.error
+        kept = state.error
         if kept is not None and getattr(kept, "outcome", "") == UNKNOWN:
             return
         outcome = getattr(error, "outcome", "not_run")
-        if kept is None or outcome in (UNKNOWN, FAILED) or not attempts.may_have_run:
-            attempts.error = error
+        if kept is None or outcome in (UNKNOWN, FAILED) or not state.may_have_run:
+            state.error = error
 
-    def _attempt(self, attempts, is_last):
-        admitted = attempts.admitted
+    def _attempt(self, state, is_last):
+        admitted = state.admitted
         tracing = self._process.tracing
         with tracing.span("gateway.slot"):
-            grant = self._slot(attempts)
+            grant = self._acquire_slot(state)
         note_fields(shard=grant.granted.shard, epoch=grant.granted.epoch)
         clock = self._process.clock
-        began = clock.monotonic()
+        started_at = clock.monotonic()
         self._process.metrics.wait_seconds.labels(admitted.name).observe(
-            began - attempts.arrived
+            started_at - state.arrived
         )
         outcome = UNUSED
         try:
-            grant.check_usable(began)
-            if began >= attempts.deadline:
+            grant.check_usable(started_at)
+            if started_at >= state.deadline:
                 raise DeadlineOver(service=admitted.name)
-            attempts.avoid.append(grant.granted.instance)
-            seconds = self._seconds(attempts, is_last, began)
+            state.avoid.append(grant.granted.instance)
+            seconds = self._attempt_seconds(state, is_last, started_at)
             with tracing.span("gateway.call"):
                 outcome, answer = self._call(grant.granted, admitted, seconds)
         except (NotSent, BackendFailed):
@@ -171,11 +171,11 @@
         except (AnswerMissing, AnswerInvalid):
             # The backend server may still run it: the slot is not free yet.
             outcome = UNKNOWN
-            self._timeouts.observe(admitted.name, clock.monotonic() - began)
+            self._timeouts.observe(admitted.name, clock.monotonic() - started_at)
             raise
         finally:
-            self._slots.release(grant, outcome, clock.monotonic() - began)
-        self._timeouts.observe(admitted.name, clock.monotonic() - began)
+            self._slots.release(grant, outcome, clock.monotonic() - started_at)
+        self._timeouts.observe(admitted.name, clock.monotonic() - started_at)
         if answer.status >= _SERVER_ERROR:
             raise BackendFailed(status=answer.status)
         kind = answer.headers.get("Content-Type", "application/octet-stream")
@@ -197,46 +197,46 @@
             raise BackendFailed(status=answer.status)
         return DONE, answer
 
-    def _seconds(self, attempts, is_last, now):
+    def _attempt_seconds(self, state, is_last, now):
         """Return how long one try may take.
 
         A try is cut short only where another may follow: without a retry left,
         a slow answer is still better than none.
         """
-        policy = attempts.admitted.policy
-        rest = min(attempts.deadline - now, policy.run_seconds)
+        policy = state.admitted.policy
+        remaining = min(state.deadline - now, policy.run_seconds)
         if is_last or not policy.repeatable:
-            return rest
-        return self._timeouts.first_try(policy.name, rest)
+            return remaining
+        return self._timeouts.first_try(policy.name, remaining)
 
-    def _slot(self, attempts):
-        admitted = attempts.admitted
+    def _acquire_slot(self, state):
+        admitted = state.admitted
         clock = self._process.clock
-        for number in range(_SLOT_TRIES):
-            rest = attempts.deadline - clock.monotonic()
+        for number in range(_SLOT_ATTEMPTS):
+            remaining = state.deadline - clock.monotonic()
             try:
                 return self._slots.acquire(
                     admitted.policy,
                     admitted.request_id,
-                    self._wait_seconds(admitted.name, rest),
+                    self._slot_wait_seconds(admitted.name, remaining),
                     admitted.caller,
-                    attempts.avoid,
+                    state.avoid,
                     self._process.tracing.traceparent(),
                 )
             except (PeerRefused, NoRoute, PlacerSilent) as error:
                 is_refusal = isinstance(error, PeerRefused)
                 if is_refusal and not has_moved(error):
                     raise
-                if number + 1 == _SLOT_TRIES:
+                if number + 1 == _SLOT_ATTEMPTS:
                     raise
-            clock.wait(self._process.is_stopping, _MOVED_WAIT_SECONDS)
-            if clock.monotonic() >= attempts.deadline:
+            clock.wait(self._process.is_stopping, _MOVE_RETRY_SECONDS)
+            if clock.monotonic() >= state.deadline:
                 break
         raise DeadlineOver(service=admitted.name)
 
-    def _wait_seconds(self, service, rest):
+    def _slot_wait_seconds(self, service, remaining):
         """Return how long a request may wait and still be answered in time."""
         usual = self._timeouts.usual_seconds(service)
         if usual is None:
-            return max(0.0, rest * _SLOT_SHARE)
-        return max(0.0, rest - usual)
+            return max(0.0, remaining * _SLOT_SHARE)
+        return max(0.0, remaining - usual)
--- a/tests/gateway/test_submission.py
+++ b/tests/gateway/test_submission.py
@@ -6,7 +6,7 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.gateway.submission import MOVED_SECONDS, Submission
+from papayapick.gateway.submission import MOVE_TIMEOUT_SECONDS, Submission
 from papayapick.wire import PeerDisconnected, PeerRefused, PeerTimeout
 from papayapick.wire.messages import WorkState
 
@@ -72,16 +72,16 @@
     """
     done = WorkState(request_id="hobart-a.0.r", state="waiting")
     client = FakeClient(relayed(code), done)
-    assert submission(client).settle() is done
+    assert submission(client).submit() is done
     assert client.calls == 2
 
 
 def test_loss_behind_a_relay_stays_unknown_where_nobody_settles_it():
     client = FakeClient(relayed(PeerDisconnected.code))
     with pytest.raises(PeerRefused) as raised:
-        submission(client).settle()
+        submission(client).submit()
     assert raised.value.outcome == "unknown"
-    assert client.calls > MOVED_SECONDS
+    assert client.calls > MOVE_TIMEOUT_SECONDS
 
 
 def test_refusal_after_a_loss_behind_a_relay_is_not_called_not_run():
@@ -90,5 +90,5 @@
         refusal_code="placer.waiting-full", detail="", outcome="not_run", retry_after=1
     )
     with pytest.raises(PeerRefused) as raised:
-        submission(FakeClient(relayed(PeerDisconnected.code), refusal)).settle()
+        submission(FakeClient(relayed(PeerDisconnected.code), refusal)).submit()
     assert raised.value.outcome == "unknown"
