--- a/papayapick/membership/__init__.py
+++ b/papayapick/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who lives, by the platform's list and by heartbeats together."""
+"""Membership of the cell, from the platform's host list and heartbeats."""
 
 from papayapick.membership.exceptions import MembershipError, ShardUnserved
 from papayapick.membership.peer import Peer
--- a/papayapick/membership/commands.py
+++ b/papayapick/membership/commands.py
@@ -1,4 +1,4 @@
-"""Tell the processes of a cell what changed."""
+"""Notify the processes of a cell of a changed bundle head."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -8,32 +8,33 @@
 
 __all__ = ["announce_head"]
 
-_SIDE_BY_SIDE = 32
+_MAX_CONCURRENT = 32
 
 
 def announce_head(entries, head, cell_keys, identity, seconds):
-    """Tell every process on the list that the bundle's head has changed.
+    """Notify every process on the host list that the bundle's head has changed.
 
-    Told of a proposal, they verify it at once; those far from the store would
-    look only when a heartbeat over the link says so. An accepted bundle they
-    would find at their next look at the table. An outage that begins just after
-    the accept would then keep it from all of them; told by the operator's
-    program, they put in force what they have verified already, and pass it on.
+    Processes verify a proposal as soon as they are notified. Without the
+    notification, those far from the store would wait until a heartbeat across
+    the link reports the change, and all others until they next poll the table. A
+    table outage that begins just after an accept would then hide the accepted
+    bundle from all of them. Processes notified by the operator's program
+    activate the bundle that they have verified already and propagate it.
 
     Parameters
     ----------
     entries : list of HostEntry
     head : Head
-        With the bundle that is in force, and the version of the row.
+        Bundle in force and the version of the head's row.
     cell_keys : CellKeys
     identity : Hello
     seconds : float
-        To wait for one process.
+        Time limit for each process.
 
     Returns
     -------
     list of str
-        Names of the processes that answered, in order.
+        Sorted names of the processes that answered.
     """
     processes = [
         entry for entry in entries if entry.kind in (GATEWAY_KIND, PLACER_KIND)
@@ -45,8 +46,8 @@
         head_version=head.version,
     )
 
-    def tell(entry):
-        # A client's reader takes a thread until the client is closed.
+    def notify(entry):
+        # The client's reader occupies a thread until the client is closed.
         with ThreadPoolExecutor(1) as reader:
             client = PeerClient(entry.address, cell_keys, identity, reader, seconds)
             try:
@@ -57,6 +58,6 @@
                 client.close()
         return entry.name
 
-    with ThreadPoolExecutor(_SIDE_BY_SIDE) as executor:
-        told = list(executor.map(tell, processes))
-    return sorted(name for name in told if name is not None)
+    with ThreadPoolExecutor(_MAX_CONCURRENT) as executor:
+        notified = list(executor.map(notify, processes))
+    return sorted(name for name in notified if name is not None)
--- a/papayapick/membership/exceptions.py
+++ b/papayapick/membership/exceptions.py
@@ -6,7 +6,7 @@
 
 
 class MembershipError(PapayapickError):
-    """Stand for any error of membership; the work was not taken."""
+    """Base class of membership errors; the work was not accepted."""
 
     code = "membership.error"
     outcome = "not_run"
--- a/papayapick/membership/heartbeat_exchange.py
+++ b/papayapick/membership/heartbeat_exchange.py
@@ -1,11 +1,12 @@
-"""Choose which process asks a far placer for its heartbeat."""
+"""Decide which process exchanges heartbeats with a placer of another region."""
 
 from papayapick.membership.relays import contacts_far_placer
 
 __all__ = ["RELAY_SILENCE_SHARE", "exchanges_with"]
 
-# A near placer that missed two heartbeats is no relay any more, though it is
-# not dead yet: another takes the relay's part before far placers seem silent.
+# A placer of this region that missed two heartbeats is not used as a relay any more,
+# although it does not count as dead yet: another placer must replace it as the relay
+# before the far placers seem silent.
 RELAY_SILENCE_SHARE = 1 / 3
 
 
@@ -17,6 +18,7 @@
     peers : Peers
     settings : Settings
     peer : Peer
+        A placer of another region.
     now : float
         Monotonic seconds.
     """
@@ -36,7 +38,7 @@
 
 
 def _answers(peers, settings, peer, now):
-    # A partner that left a question unanswered is passed over for a while;
-    # else all of its region would seem silent with it.
+    # A placer that left a heartbeat unanswered is not chosen as its region's relay for
+    # a while. Otherwise all placers of its region would seem silent with it.
     is_skipped = now - peer.last_failed_at <= settings.dead_after_seconds
     return peer.last_heartbeat and not peers.is_silent(peer) and not is_skipped
--- a/papayapick/membership/peer.py
+++ b/papayapick/membership/peer.py
@@ -1,4 +1,4 @@
-"""Hold what one process knows of one placer."""
+"""State that a process keeps for each placer."""
 
 import threading
 
@@ -6,14 +6,14 @@
 
 
 class Peer:
-    """Hold what is known of one placer.
+    """Hold the last known state of one placer.
 
     Parameters
     ----------
     entry : HostEntry
     client : PeerClient
     now : float
-        Monotonic seconds; silence counts from here until the first answer.
+        Monotonic seconds; until the first answer, silence is counted from here.
     """
 
     __slots__ = (
--- a/papayapick/membership/peers.py
+++ b/papayapick/membership/peers.py
@@ -1,4 +1,4 @@
-"""Exchange heartbeats with the placers and learn who serves what."""
+"""Exchange heartbeats with placers and track which shards they serve."""
 
 import threading
 
@@ -18,19 +18,19 @@
 
 _LOG = get_logger(__name__)
 _LINK_HEARTBEAT_FACTOR = 2
-# What a relay tells is older than what a process hears itself, by one heartbeat
-# over the link and one inside the region, and by a change of relays.
+# A relayed heartbeat is older than a direct one by one heartbeat across the link, one
+# within the region, and possibly the replacement of a relay.
 _FAR_SILENCE_FACTOR = 1.25
-# A loop wakes a little early or late.
-_ALMOST = 0.9
+# The loop may wake slightly early; such a heartbeat must not wait for another turn.
+_WAKE_MARGIN = 0.9
 
 
 class Peers:
-    """Keep a heartbeat with every placer on the live list.
+    """Exchange heartbeats with every placer on the host list.
 
-    The list says whom to try; the heartbeat says who answers. A dead entry on
-    the list is silent and gets no work; a live placer that the list has lost
-    is kept while it answers.
+    The list names the placers to contact; heartbeats show which of them are
+    alive. A listed placer that is dead gets no work; a live placer that is missing
+    from the list is kept while it answers.
 
     Parameters
     ----------
@@ -38,15 +38,15 @@
     connect : callable
         Returns a PeerClient for an address.
     own_heartbeat : callable
-        Returns the Heartbeat that this process sends.
+        Returns the Heartbeat of this process.
     clock : Clock
     executor : concurrent.futures.Executor
-        Runs one task for each peer.
+        Runs one task per peer.
     settings : Settings
     on_bundle_head : callable
-        Called with a PeerHead and a function that fetches the body.
+        Called with a PeerHead and a function that fetches the bundle.
     count_pauses : callable
-        Returns the pauses of this process so far.
+        Returns the number of pauses of this process so far.
     """
 
     __slots__ = (
@@ -100,7 +100,7 @@
     def from_config(
         cls, settings, host_list, cell_key, identity, clock, executor, meter, callbacks
     ):
-        """Build the peers of one process.
+        """Build the Peers of one process.
 
         Parameters
         ----------
@@ -123,45 +123,45 @@
 
     @property
     def entries(self):
-        """Return the live list as it was last read."""
+        """Return the host list as last read."""
         return self._entries
 
     @property
     def newest_head(self):
-        """Return the highest version of the bundle's head heard of."""
+        """Return the highest version of the bundle's head reported so far."""
         return self._newest_head
 
     @property
     def list_tag(self):
-        """Return the tag of the live list as last read."""
+        """Return the tag of the host list as last read."""
         return self._host_list.tag
 
     def has_live_peer_in(self, region):
-        """Return whether a live placer of another region is known."""
+        """Return whether the region is another one and has a live placer."""
         return region != self._settings.region and any(
             peer.entry.region == region for peer in self.live()
         )
 
     def use_store_region(self, store_region):
-        """Look at the list less often while the store's region is heard.
+        """Read the host list less often while the store's region has a live placer.
 
         Parameters
         ----------
         store_region : callable
-            Returns the region's name, empty where none is known yet.
+            Returns the name of the region, empty if it is not known yet.
         """
         self._list_gate = PollGate(
             self._clock, lambda: self.has_live_peer_in(store_region())
         )
 
     def refresh(self):
-        """Read the list; start a task for each new placer, end those long gone."""
+        """Read the host list; add new placers, drop unlisted ones that are silent."""
         if not self._list_gate.is_due(self._list_has_changed()):
             return
         try:
             entries = self._host_list.fetch()
         except HostListUnavailable:
-            # The list is a hint; what is known goes on being used.
+            # The list is only a hint; known placers stay in use.
             return
         self._entries = entries
         placers = {entry.name: entry for entry in entries if entry.kind == PLACER_KIND}
@@ -178,7 +178,7 @@
                     self._drop(name)
 
     def live(self):
-        """Return the placers that answer, this process among them where listed."""
+        """Return the placers that answer, including this process if it is listed."""
         return [
             peer
             for peer in self.peers()
@@ -192,7 +192,7 @@
         return peer is not None and not self.is_silent(peer)
 
     def shard_owners(self):
-        """Return, for each shard, the live placer that claims the highest epoch.
+        """Return, by shard, the live placer that reports the highest epoch.
 
         Returns
         -------
@@ -207,14 +207,14 @@
         return found
 
     def owner_of(self, shard):
-        """Return the placer that serves a shard; raise ShardUnserved."""
+        """Return the Peer that serves a shard; raise ShardUnserved."""
         found = self.shard_owners().get(shard)
         if found is None:
             raise ShardUnserved(shard=shard)
         return found[0]
 
     def close(self):
-        """End every task."""
+        """Stop all tasks and close the connections."""
         self._stopping = True
         with self._lock:
             peers, self._peers = self._peers, {}
@@ -237,21 +237,21 @@
         peer.client.close()
 
     def peers(self):
-        """Return every placer that is listed or answers still."""
+        """Return all placers that are listed or still answer."""
         with self._lock:
             return list(self._peers.values())
 
     def is_far(self, peer):
-        """Return whether a placer stands in another region."""
+        """Return whether a placer is in another region."""
         return peer.entry.region != self._settings.region
 
     def silence(self, peer):
-        """Return the seconds since a placer was last heard of."""
+        """Return the seconds since a placer's last known heartbeat."""
         return self._clock.monotonic() - peer.last_heartbeat_at
 
     @property
     def link_seconds(self):
-        """Return the time between two heartbeats over the link."""
+        """Return the seconds between two heartbeats across the link."""
         return self._settings.heartbeat_seconds * _LINK_HEARTBEAT_FACTOR
 
     def _list_has_changed(self):
@@ -260,7 +260,7 @@
         return bool(tags - {own, "", None})
 
     def is_silent(self, peer):
-        """Return whether a placer was not heard for longer than is allowed."""
+        """Return whether a placer's last heartbeat is older than allowed."""
         allowed = self._settings.dead_after_seconds
         if self.is_far(peer):
             allowed *= _FAR_SILENCE_FACTOR
@@ -272,7 +272,7 @@
             self._clock.wait(peer.stop, self._settings.heartbeat_seconds)
 
     def exchange_if_due(self, peer):
-        """Exchange a heartbeat with a peer if it is due and this process's part."""
+        """Exchange a heartbeat with a peer if this process is due to do so."""
         if not self._is_due(peer):
             return
         peer.last_sent_at = self._clock.monotonic()
@@ -285,20 +285,20 @@
     def _is_due(self, peer):
         if not self.is_far(peer):
             return True
-        # Bytes over the link between regions are paid for.
+        # Traffic across the link between regions is paid for.
         since = self._clock.monotonic() - peer.last_sent_at
-        return since >= self.link_seconds * _ALMOST and self.exchanges_with(peer)
+        return since >= self.link_seconds * _WAKE_MARGIN and self.exchanges_with(peer)
 
     def exchanges_with(self, peer):
         """Return whether this process exchanges heartbeats with a far placer."""
         return exchanges_with(self, self._settings, peer, self._clock.monotonic())
 
     def exchange_heartbeat(self, peer):
-        """Exchange one heartbeat with a peer; raise WireError."""
+        """Send a heartbeat to a peer and process its answer; raise WireError."""
         seconds = self._settings.dead_after_seconds * RELAY_SILENCE_SHARE
         pauses = self._count_pauses()
         question = self._own_heartbeat()
-        # The answerer asks this process itself, if it wants to know.
+        # The peer learns the shards from its own heartbeats to this process.
         question.shards = None
         question.known = self._summaries.known_version(peer)
         answer = peer.client.ask(question, seconds)
@@ -326,7 +326,7 @@
         self._on_bundle_head(head, fetch)
 
     def note_head(self, version):
-        """Hear of a version of the bundle's head; return whether it is a newer one."""
+        """Record a version of the bundle's head; return whether it is a newer one."""
         with self._lock:
             if version <= self._newest_head:
                 return False
@@ -334,13 +334,13 @@
             return True
 
     def add_summary(self, answer, known, requester_region):
-        """Put what an asker should hear of other placers into an answer.
+        """Add the summary of placers that the requester needs to an answer.
 
         Parameters
         ----------
         answer : Heartbeat
         known : int
-            Version of the summary that the asker has.
+            Version of the summary that the requester has.
         requester_region : str
         """
         self._summaries.add(answer, known, requester_region == self._settings.region)
--- a/papayapick/membership/poll_gate.py
+++ b/papayapick/membership/poll_gate.py
@@ -1,24 +1,25 @@
-"""Decide when a process far from the store looks at what it keeps there."""
+"""Limit how often a process far from the store polls it."""
 
 __all__ = ["PollGate"]
 
-_LONGEST_SECONDS = 20.0
+_MAX_INTERVAL_SECONDS = 20.0
 
 
 class PollGate:
-    """Let a look through where something may have changed.
+    """Allow a poll if what is polled may have changed.
 
-    Each look of a process in another region than the store's crosses the paid
-    link. Such a process hears from placers near the store whether the bundle's
-    head or the live list has changed, and looks then. Where it hears of none of
-    them, where it was paused, and from time to time in any case, it looks.
+    Each poll by a process outside the store's region crosses the paid link. Such
+    a process learns from heartbeats of placers near the store whether the
+    bundle's head or the host list has changed, and polls only then. It also polls
+    if it knows no live placer near the store, after a pause of the process, and
+    whenever the maximum interval has passed.
 
     Parameters
     ----------
     clock : Clock
     has_store_contact : callable
-        Returns whether a live placer of the store's region is known, False for
-        a process that stands there itself.
+        Returns whether a live placer of the store's region is known; False in a
+        process of that region.
     """
 
     __slots__ = ("_clock", "_has_store_contact", "_last_poll_at")
@@ -29,15 +30,16 @@
         self._last_poll_at = float("-inf")
 
     def is_due(self, has_changed):
-        """Return whether to look now, and count the look as made.
+        """Return whether to poll now; if so, record the poll.
 
         Parameters
         ----------
         has_changed : bool
+            Whether a change is known or has to be assumed.
         """
         now = self._clock.monotonic()
         is_unchanged = self._has_store_contact() and not has_changed
-        if is_unchanged and now - self._last_poll_at < _LONGEST_SECONDS:
+        if is_unchanged and now - self._last_poll_at < _MAX_INTERVAL_SECONDS:
             return False
         self._last_poll_at = now
         return True
--- a/papayapick/membership/relays.py
+++ b/papayapick/membership/relays.py
@@ -1,4 +1,4 @@
-"""Choose who exchanges heartbeats over the paid link between regions."""
+"""Select the relays that exchange heartbeats across the paid link of regions."""
 
 import hashlib
 
@@ -10,7 +10,9 @@
 
 
 def relay_of(region, names):
-    """Return the placer that speaks for a region, the same to all who look.
+    """Return the placer that relays heartbeats for a region.
+
+    All processes that know the same placers get the same result.
 
     Parameters
     ----------
@@ -37,11 +39,12 @@
 
 
 def summary_of(peers):
-    """Return what a region tells others of its live placers, and its version.
+    """Return the summary of a region's live placers, and its version.
 
-    Loads are rounded up to powers of two: another region needs to know whether
-    there is room, and each change that is told crosses the paid link. Rounded
-    down, the first call at an idle shard of 64 slots would be told as 32 left.
+    Loads are rounded up to powers of two: another region needs only an estimate
+    of the free room, and each reported change crosses the paid link. Rounding
+    down would report 32 free slots after the first call to an idle shard with
+    64 slots.
 
     Parameters
     ----------
@@ -82,24 +85,25 @@
 
 
 def contacts_far_placer(host, region, near, far, name):
-    """Return whether this process asks a far placer itself.
+    """Return whether this process exchanges heartbeats with a far placer directly.
 
-    One placer of a region asks one placer of the other; both are found by
-    rendezvous hashing, without an election. For a moment two processes may each
-    hold themselves for the relay, which costs some bytes, or none does, which
-    the allowed silence covers. Where no near placer answers, each process asks
-    for itself; where no far one does, the relay asks all.
+    One placer of each region, its relay, contacts one placer of the other region.
+    Both are selected by rendezvous hashing, without an election. Briefly, two
+    processes may both consider themselves the relay, which costs some traffic,
+    or none may, which the allowed silence covers. If no placer of this region
+    answers, each process contacts the far placers itself; if no far placer
+    answers, the relay contacts all of them.
 
     Parameters
     ----------
     host, region : str
-        Of this process.
+        Name and region of this process.
     near : list of str
-        Placers of this region that answered lately.
+        Placers of this region that answered recently.
     far : list of str
-        Placers of the other region that answer, as far as known.
+        Placers of the other region that are known to answer.
     name : str
-        The far placer.
+        Name of the far placer.
     """
     if not near:
         return True
--- a/papayapick/membership/summary_exchange.py
+++ b/papayapick/membership/summary_exchange.py
@@ -1,4 +1,4 @@
-"""Tell the own region of far placers, and other regions of the own."""
+"""Exchange summaries of placers within a region and between regions."""
 
 import math
 
@@ -7,18 +7,19 @@
 
 __all__ = ["SummaryExchange"]
 
-_FRESH_BEATS = 2.5
-# Another region needs to know at once who serves what, but of loads only about
-# how much room there is: under load they change with every heartbeat.
-_LOADS_SECONDS = 10.0
+_FRESH_HEARTBEATS = 2.5
+# Another region must learn immediately which placers serve which shards, but needs
+# only an estimate of the free room: under load, loads change with every heartbeat.
+_LOADS_INTERVAL_SECONDS = 10.0
 
 
 class SummaryExchange:
-    """Put summaries of regions into heartbeats and take them out again.
+    """Add summaries of placers to heartbeats and apply received ones.
 
-    A process of another region is told of the placers of this region; one of
-    this region is told of the others by whoever asked over the link itself. An
-    unchanged summary crosses as its version only.
+    A process of another region gets the summary of this region's placers. A
+    process of this region gets the summary of the far placers from whichever
+    process contacted them across the link. An unchanged summary is sent as its
+    version only.
 
     Parameters
     ----------
@@ -35,25 +36,26 @@
         self._received = {}
 
     def known_version(self, peer):
-        """Return the version of the summary last told by a peer, 0 for none."""
+        """Return the version of the summary last received from a peer, or 0."""
         found = self._received.get(peer.name)
         return found[0] if found else 0
 
     def add(self, answer, known, is_near):
-        """Add to an answer what its asker should hear.
+        """Add the summary that the requester needs to an answer.
 
         Parameters
         ----------
         answer : Heartbeat
         known : int
+            Version of the summary that the requester has.
         is_near : bool
-            Whether the asker stands in this region.
+            Whether the requester is in this region.
         """
         if is_near:
             found = self._far_peers_contacted()
         else:
             found = [one for one in self._peers.live() if not self._peers.is_far(one)]
-            # They stand in the summary.
+            # The summary contains the shards.
             answer.shards = None
         if not found:
             return
@@ -61,13 +63,13 @@
         answer.summary_version = version
         if is_near:
             oldest = max(self._peers.silence(peer) for peer in found)
-            # Rounded up, so that no word grows younger when it is told again.
+            # Rounded up, so that a summary never seems younger when it is relayed.
             answer.summary_age_milliseconds = math.ceil(oldest * 1000)
         if version != known:
             answer.placers = placers
 
     def note(self, sender, answer, now):
-        """Take the summary of an answer as the word of far placers.
+        """Apply the summary of an answer to the known far placers.
 
         Parameters
         ----------
@@ -82,8 +84,8 @@
         if received is None or received[0] != answer.summary_version:
             received = (answer.summary_version, answer.placers or [])
             self._received[sender.name] = received
-        # A near teller's tag is in its own heartbeat. Taken for a far placer's,
-        # it would hide from a relay that asks itself that the list has changed.
+        # A sender of this region reports its own list tag. Stored for a far placer, it
+        # would hide a changed list from a relay that also receives its own summary.
         list_tag = answer.list_tag if self._peers.is_far(sender) else None
         heartbeat_at = now - (answer.summary_age_milliseconds or 0) / 1000
         known = {peer.name: peer for peer in self._peers.peers()}
@@ -91,8 +93,8 @@
             peer = known.get(found.host)
             if peer is None or not self._peers.is_far(peer):
                 continue
-            # The word of two relays may come in either order, and this process,
-            # which asks itself as well, hears its own word again.
+            # Summaries of two relays may arrive in either order, and this process
+            # also receives its own summary back.
             if heartbeat_at > peer.last_heartbeat_at or peer.last_heartbeat is None:
                 peer.last_heartbeat = Heartbeat(
                     host=found.host,
@@ -105,7 +107,7 @@
                 peer.last_heartbeat_at = heartbeat_at
 
     def _own_summary(self, found):
-        """Return the summary for other regions, its loads a little old."""
+        """Return the summary for other regions; its loads may be out of date."""
         now = self._clock.monotonic()
         served = {
             (peer.name, bool(peer.last_heartbeat.draining), shard.shard, shard.epoch)
@@ -113,14 +115,15 @@
             for shard in peer.last_heartbeat.shards or [ShardSummary(shard="", epoch=0)]
         }
         sent, since, summary = self._sent
-        if served != sent or now - since >= _LOADS_SECONDS:
+        if served != sent or now - since >= _LOADS_INTERVAL_SECONDS:
             summary = summary_of(found)
             self._sent = (served, now, summary)
         return summary
 
     def _far_peers_contacted(self):
-        # What others told this process is not told again: its age would be lost.
-        allowed = self._peers.link_seconds * _FRESH_BEATS
+        # Return only placers with a recent heartbeat, and none if this process has
+        # contacted no far placer: relaying a relayed summary would lose its age.
+        allowed = self._peers.link_seconds * _FRESH_HEARTBEATS
         far = [one for one in self._peers.peers() if self._peers.is_far(one)]
         if not any(one.name in self._received for one in far):
             return []
--- a/papayapick/ownership/__init__.py
+++ b/papayapick/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Which placer serves a shard of hosts, and at which epoch."""
+"""Ownership of shards and pools, recorded in rows with fencing epochs."""
 
 from papayapick.ownership.assignments import candidates, preferred_owner, shard_of
 from papayapick.ownership.commands import claim, release
--- a/papayapick/ownership/assignments.py
+++ b/papayapick/ownership/assignments.py
@@ -15,7 +15,7 @@
     Parameters
     ----------
     name : str
-        Of the worker; an instance goes with its worker.
+        Name of the worker; an instance belongs to the shard of its worker.
     zone : str
     shards_per_zone : int
 
@@ -34,35 +34,36 @@
 
 
 def candidates(peers):
-    """Return the placers that may be given shards.
+    """Return the placers that are eligible to own shards.
 
-    One that drains, or has no bundle yet, answers heartbeats and takes nothing:
-    chosen as the preferred owner it would leave its shards unserved. One that
-    the list names as leaving is chosen only where no other answers, since the
-    list may be wrong.
+    A placer that is draining or has no bundle yet answers heartbeats but claims
+    nothing. If it were the preferred owner, its shards would stay unserved. A
+    placer that the host list marks as leaving is eligible only if no other
+    placer answers, because the list may be wrong.
 
     Parameters
     ----------
     peers : list of Peer
-        Those that answer.
+        Placers that answer heartbeats.
 
     Returns
     -------
     list of HostEntry
     """
-    able = [
+    eligible = [
         peer.entry
         for peer in peers
         if not peer.last_heartbeat.draining and peer.last_heartbeat.bundle_sequence
     ]
-    return [entry for entry in able if entry.is_live] or able
+    return [entry for entry in eligible if entry.is_live] or eligible
 
 
 def preferred_owner(shard, placers):
-    """Return the placer that should serve a shard, the same to all who look.
+    """Return the placer that should serve a shard.
 
-    Rendezvous hashing moves only the shards of a placer that came or went.
-    Placers of the shard's own zone go before others.
+    All processes that know the same placers get the same result. Rendezvous
+    hashing moves only the shards of a placer that is added or removed. Placers
+    in the shard's own zone take precedence over others.
 
     Parameters
     ----------
@@ -74,9 +75,9 @@
     str or None
     """
     zone = zone_of(shard)
-    near = [found for found in placers if found.zone == zone]
-    if not near and placers:
-        near = placers
-    if not near:
+    nearest = [found for found in placers if found.zone == zone]
+    if not nearest and placers:
+        nearest = placers
+    if not nearest:
         return None
-    return max(near, key=lambda found: _score(shard, found.name)).name
+    return max(nearest, key=lambda found: _score(shard, found.name)).name
--- a/papayapick/ownership/commands.py
+++ b/papayapick/ownership/commands.py
@@ -1,4 +1,4 @@
-"""Take and release shards by compare-and-set."""
+"""Claim and release shards by compare-and-set."""
 
 from papayapick.clients import Condition, TransactionConflict, Write
 from papayapick.clients.commands import transact_settled
@@ -8,17 +8,18 @@
 __all__ = ["claim", "release"]
 
 
-def claim(table, found, host):
-    """Take a shard at the next epoch.
+def claim(table, seen, host):
+    """Claim a shard at the next epoch.
 
-    Ownership has no time limit: only this compare-and-set changes it. A table
-    outage therefore lapses nothing, and nobody can take over meanwhile.
+    Ownership has no time limit: only a compare-and-set on the row changes it. A
+    table outage therefore ends no ownership, and no other placer can take the
+    shard over during the outage.
 
     Parameters
     ----------
     table : TableProtocol
-    found : ShardRow
-        The row as it was read.
+    seen : ShardRow
+        The row as last read.
     host : str
 
     Returns
@@ -28,29 +29,30 @@
     Raises
     ------
     TakeoverLost
-        Another placer was first.
+        Another placer claimed the shard first.
     TableUnavailable
-        Whether it was taken is unknown; read the row.
+        Whether the claim took effect is unknown; the row must be read.
     """
-    value = {"owner": host, "epoch": found.epoch + 1}
+    value = {"owner": host, "epoch": seen.epoch + 1}
     try:
         transact_settled(
-            table, [Condition(found.key, found.version)], [Write(found.key, value)]
+            table, [Condition(seen.key, seen.version)], [Write(seen.key, value)]
         )
     except TransactionConflict as error:
-        now = read_shard(table, found.shard)
+        now = read_shard(table, seen.shard)
         raise TakeoverLost(
-            shard=found.shard, owner=now.owner, epoch=now.epoch
+            shard=seen.shard, owner=now.owner, epoch=now.epoch
         ) from error
-    # The row was not there before the claim, or one version older.
-    taken = read_shard(table, found.shard)
-    if (taken.owner, taken.epoch) != (host, found.epoch + 1):
-        raise TakeoverLost(shard=found.shard, owner=taken.owner, epoch=taken.epoch)
+    # Read back the version of the row. A newer owner may have claimed the shard
+    # meanwhile, and the journal must not write under that owner's version.
+    taken = read_shard(table, seen.shard)
+    if (taken.owner, taken.epoch) != (host, seen.epoch + 1):
+        raise TakeoverLost(shard=seen.shard, owner=taken.owner, epoch=taken.epoch)
     return taken
 
 
 def release(table, owned):
-    """Give a shard up so that another placer takes it at once.
+    """Release a shard so that another placer can claim it immediately.
 
     Parameters
     ----------
@@ -60,7 +62,7 @@
     Raises
     ------
     TransactionConflict
-        Another placer has it already.
+        Another placer has claimed the shard already.
     TableUnavailable
     """
     value = {"owner": "", "epoch": owned.epoch}
--- a/papayapick/ownership/exceptions.py
+++ b/papayapick/ownership/exceptions.py
@@ -13,7 +13,7 @@
 
 
 class OwnershipError(PapayapickError):
-    """Stand for any error of ownership; the work was not taken."""
+    """Base class of ownership errors; the work was not accepted."""
 
     code = "ownership.error"
     outcome = "not_run"
@@ -21,21 +21,21 @@
 
 
 class ShardNotOwned(OwnershipError):
-    """Report a shard that another placer serves, or none yet."""
+    """Report a shard that another placer serves, or that has no owner yet."""
 
     code = "ownership.not-owned"
     template = "shard {shard} is not served here"
 
 
 class OwnershipUnconfirmed(OwnershipError):
-    """Report a placer that was paused and has not confirmed its shards."""
+    """Report a shard that its placer has not confirmed since a process pause."""
 
     code = "ownership.unconfirmed"
-    template = "shard {shard} waits to be confirmed after a pause"
+    template = "ownership of shard {shard} is not confirmed yet after a process pause"
 
 
 class TakeoverLost(OwnershipError):
-    """Report that another placer took the shard first."""
+    """Report that another placer claimed the shard first."""
 
     code = "ownership.takeover-lost"
-    template = "shard {shard} went to {owner} at epoch {epoch}"
+    template = "shard {shard} was claimed by {owner} at epoch {epoch}"
--- a/papayapick/ownership/leases.py
+++ b/papayapick/ownership/leases.py
@@ -1,4 +1,4 @@
-"""Tell when the leases of tasks are over for certain."""
+"""Track task leases and determine when they have certainly expired."""
 
 import threading
 
@@ -14,24 +14,25 @@
 
 
 class LeaseTracker:
-    """Remember when each task's lease was last asked for by this process.
+    """Track when this process last requested each task's lease.
 
-    A worker that can't be reached may run a task until its lease lapses by the
-    worker's own clock. Each start and renewal that was sent may have reached
-    it, also where its answer was lost; so the time counts from the last one
-    sent, noted before it leaves. Renewals to a silent worker must therefore
-    end, or the lease would never be over.
+    A worker that is unreachable may run a task until the lease expires by the
+    worker's own clock. Each start or renewal that was sent may have reached the
+    worker even if its answer was lost, so the lease is measured from the last
+    request, recorded before it is sent. Renewals to an unresponsive worker must
+    therefore stop; otherwise its leases would never count as expired.
 
-    A task that an earlier owner started has no time here: that owner may live
-    on, cut from the table, and go on renewing. Only the worker's own answer,
-    which also fences the earlier owner, starts the time of such a task.
+    A task that an earlier owner started has no recorded lease: that owner may
+    still be alive, disconnected from the table, and continue to renew. Only an
+    answer of the worker, which also fences the earlier owner, starts the lease
+    of such a task here.
 
     Parameters
     ----------
     clock : Clock
     lease_seconds : float
     drift : float
-        Share by which clocks of workers and placers drift apart at most.
+        Maximum relative drift between the clocks of workers and placers.
 
     Examples
     --------
@@ -56,12 +57,12 @@
         self._lock = threading.Lock()
 
     def note_start(self, task):
-        """Note that the start of a task is about to be sent."""
+        """Record that the start of a task is about to be sent."""
         with self._lock:
             self._leases[task] = _Lease(self._clock.monotonic())
 
     def note_renewal(self, tasks):
-        """Note that a renewal is about to be sent."""
+        """Record that a renewal is about to be sent."""
         now = self._clock.monotonic()
         with self._lock:
             for task in tasks:
@@ -69,7 +70,7 @@
                     self._leases[task].sent = now
 
     def note_answer(self, tasks):
-        """Note that the worker answered this owner about tasks."""
+        """Record that the worker answered this owner about the tasks."""
         now = self._clock.monotonic()
         with self._lock:
             for task in tasks:
@@ -77,13 +78,13 @@
                 lease.answered = now
 
     def remove(self, tasks):
-        """Drop tasks that have ended."""
+        """Remove tasks that have ended."""
         with self._lock:
             for task in tasks:
                 self._leases.pop(task, None)
 
     def has_unanswered(self, tasks):
-        """Return whether no answer came for half a lease about any of the tasks."""
+        """Return whether any of the tasks had no answer for half a lease."""
         now = self._clock.monotonic()
         with self._lock:
             return any(
@@ -93,7 +94,7 @@
             )
 
     def have_expired(self, tasks):
-        """Return whether no lease of the tasks can be in force any more."""
+        """Return whether the leases of all tasks have certainly expired."""
         now = self._clock.monotonic()
         with self._lock:
             return all(
--- a/papayapick/ownership/pools.py
+++ b/papayapick/ownership/pools.py
@@ -1,8 +1,8 @@
-"""Own a pool of workers: a row taken by compare-and-set, without a time limit.
+"""Claim and release pools of workers by compare-and-set, without a time limit.
 
 The epoch in the row is the fencing token of all orders to the pool's workers. An
 owner that was replaced is refused by each worker that has seen a newer epoch, and
-by the store, where each of its writes demands that the row is unchanged.
+by the store, because each of its writes is conditional on an unchanged row.
 """
 
 from papayapick.clients.exceptions import ConditionFailed, TableUnavailable
@@ -31,17 +31,17 @@
 
 
 class PoolRow:
-    """Hold who owns a pool.
+    """Hold the ownership row of one pool.
 
     Parameters
     ----------
     pool, owner : str
-        An owner of "" means that nobody does.
+        An empty owner means that the pool has none.
     epoch : int
     address : str
         ``IP:PORT`` at which peers reach the owner.
     version : int
-        Of the row; 0 where there is none.
+        Version of the row; 0 if there is no row.
     """
 
     __slots__ = ("address", "epoch", "owner", "pool", "version")
@@ -75,7 +75,7 @@
 
 
 def pool_row(row):
-    """Return who owns a pool from a row of the store, or None for another row."""
+    """Parse a row of the store; return None unless it is a pool's ownership row."""
     if row.table != CELL_TABLE or row.key != _KEY or row.value is None:
         return None
     value = row.value
@@ -85,13 +85,13 @@
 
 
 def claim_pool(store, seen, owner, address):
-    """Become the owner of a pool at the next epoch.
+    """Claim a pool at the next epoch.
 
     Parameters
     ----------
     store : Store
     seen : PoolRow
-        The row as it was read.
+        The row as last read.
     owner, address : str
 
     Returns
@@ -101,15 +101,15 @@
     Raises
     ------
     OwnershipLost
-        Another host was faster.
+        Another host claimed the pool first.
     TableUnavailable
-        The effect is not known.
+        Whether the claim took effect is unknown.
     """
     return _change(store, seen, owner, seen.epoch + 1, address)
 
 
 def release_pool(store, held):
-    """Give a pool up so that another host takes it at once.
+    """Release a pool so that another host can claim it immediately.
 
     Raises
     ------
@@ -131,8 +131,8 @@
 
 
 def _settle(store, seen, value):
-    # The answer was lost: the row tells whether the write took effect. Owner,
-    # epoch and address are written by one process only.
+    # The answer was lost: the row shows whether the write took effect, because only
+    # one process writes this combination of owner, epoch and address.
     row = read_pool(store, seen.pool)
     if (row.owner, row.epoch, row.address) == (
         value["owner"],
--- a/papayapick/ownership/queries.py
+++ b/papayapick/ownership/queries.py
@@ -1,4 +1,4 @@
-"""Read who owns the shards."""
+"""Read the ownership rows of shards."""
 
 __all__ = ["SHARD_PREFIX", "ShardRow", "read_shard", "read_shards"]
 
@@ -6,15 +6,16 @@
 
 
 class ShardRow:
-    """Hold the row of one shard; an owner of "" means that nobody serves it.
+    """Hold the ownership row of one shard.
 
     Parameters
     ----------
     shard : str
     owner : str
+        Name of a placer; empty if the shard has no owner.
     epoch : int
     version : int
-        Of the row; 0 where there is none.
+        Version of the row; 0 if there is no row.
     """
 
     __slots__ = ("epoch", "owner", "shard", "version")
@@ -27,7 +28,7 @@
 
     @classmethod
     def from_row(cls, shard, row):
-        """Read a row of the table, or None where it is absent."""
+        """Build from a row of the table, or from None if there is no row."""
         if row is None:
             return cls(shard, "", 0, 0)
         return cls(shard, row.value["owner"], row.value["epoch"], row.version)
@@ -39,12 +40,12 @@
 
 
 def read_shard(table, shard):
-    """Return the row of one shard; raise TableUnavailable."""
+    """Return the ownership row of one shard; raise TableUnavailable."""
     return ShardRow.from_row(shard, table.read(SHARD_PREFIX + shard))
 
 
 def read_shards(table):
-    """Return the rows that exist, by shard; raise TableUnavailable."""
+    """Return the existing ownership rows by shard; raise TableUnavailable."""
     found = {}
     for row in table.scan(SHARD_PREFIX):
         shard = row.key.removeprefix(SHARD_PREFIX)
