--- a/tests/membership/simulation.py
+++ b/tests/membership/simulation.py
@@ -1,4 +1,4 @@
-"""Processes of two regions that exchange real heartbeats by hand, in one thread."""
+"""Simulate processes of two regions that exchange real heartbeats in one thread."""
 
 from concurrent.futures import Executor
 from types import SimpleNamespace
@@ -16,14 +16,14 @@
 
 
 class IdleExecutor(Executor):
-    """Run no task: tests step the peers themselves."""
+    """Run no tasks: tests drive the peers themselves."""
 
     def submit(self, *task, **options):
         return None
 
 
 class FakeHostList:
-    """Hold the lines; each process's copy may lag behind or be down."""
+    """Serve the host list of one process; it may be outdated or unavailable."""
 
     def __init__(self):
         self.entries = []
@@ -39,7 +39,7 @@
 
 
 class SimulatedProcess:
-    """One process: its peers, and what it says of itself."""
+    """A process with its peers and its own heartbeat."""
 
     def __init__(self, simulation, name, kind, region, zone, shards=()):
         self.simulation = simulation
@@ -91,7 +91,7 @@
 
 
 class SimulatedClient:
-    """Carry real messages to another member and count their bytes."""
+    """Exchange encoded messages with another process and count their bytes."""
 
     def __init__(self, simulation, requester, name):
         self.simulation, self.requester, self.name = simulation, requester, name
@@ -109,11 +109,11 @@
         return decode(received)[1]
 
     def close(self):
-        """Hold nothing open."""
+        """Do nothing: no connection is open."""
 
 
 class Simulation:
-    """All members, their clock and the link between the regions."""
+    """All processes, their clock and the link between the regions."""
 
     def __init__(self):
         self.clock = ManualClock(1000.0)
@@ -124,7 +124,7 @@
 
     @classmethod
     def of(cls, north=3, south=6, gateways=1):
-        """Return placers and gateways of two regions that know each other."""
+        """Return a simulation in which all listed processes know all placers."""
         simulation = cls()
         for region, count in ((NORTH, north), (SOUTH, south)):
             for number in range(count):
@@ -149,7 +149,7 @@
             member.peers.refresh()
 
     def run(self, seconds):
-        """Let all members that are up exchange heartbeats for so long."""
+        """Exchange the heartbeats of all running processes for a time."""
         for _ in range(round(seconds / HEARTBEAT)):
             for member in self.members.values():
                 if not member.is_down:
--- a/tests/membership/test_announce.py
+++ b/tests/membership/test_announce.py
@@ -20,10 +20,10 @@
     return HostEntry(name, kind, "live", f"{host}:{port}", "south-tas", "hobart-a")
 
 
-def test_every_process_that_answers_is_told_of_an_accepted_bundle():
-    """The table goes down right after an accept. A dead process on the list
-    must not keep the others from hearing of the bundle, and an instance, which
-    is no process of the cell, is not called.
+def test_every_process_that_answers_is_notified_of_an_accepted_bundle():
+    """The table fails right after an accept. A dead process on the list must not
+    prevent the notification of the others. A worker, which is no process of the
+    cell, is not contacted.
     """
     heard = []
 
@@ -48,8 +48,8 @@
     assert heard == [("operator ana", 7, "digest", 3)] * 2
 
 
-def test_a_stranger_without_the_key_is_not_heard():
-    """Somebody on the network without the cell's key names another bundle."""
+def test_a_notification_without_the_cell_key_is_rejected():
+    """A client on the network without the cell key announces another bundle."""
     heard = []
     with ThreadPoolExecutor(8) as executor:
         server = PeerServer(
@@ -67,10 +67,10 @@
 
 
 class FakeProcess:
-    """Hold what a process needs to hear an asker, and count its looks."""
+    """Hold what Process needs to handle a heartbeat, and count the polls."""
 
     def __init__(self):
-        self.looks = 0
+        self.polls = 0
         self.newest = 0
         self.watcher = SimpleNamespace(sequence=4, hear=self.put_in_force)
         self.peers = SimpleNamespace(note_head=self.note_head)
@@ -85,11 +85,11 @@
         return is_newer
 
     def _look_at_head(self):
-        self.looks += 1
+        self.polls += 1
 
 
 @pytest.mark.parametrize(
-    ("sequences", "versions", "looks"),
+    ("sequences", "versions", "polls"),
     [
         ((4, 4), (9, 9), 1),
         ((4, 5), (9, 9), 2),
@@ -98,11 +98,12 @@
     ],
     ids=["proposed", "proposed and accepted", "accepted", "nothing new"],
 )
-def test_a_process_looks_once_for_each_piece_of_news(sequences, versions, looks):
-    """An operator's roll takes four seconds: processes far from the store wait
-    for a heartbeat over the link before they look. Told by the operator's
-    program they look at once; but each only once, or the heartbeats of all
-    others would have the table asked again and again.
+def test_a_process_polls_once_for_each_change(sequences, versions, polls):
+    """Without a notification, processes far from the store would wait for a
+    heartbeat across the link before they poll, and a roll would take four
+    seconds. Notified by the operator's program, they poll immediately, but only
+    once per change. Otherwise the heartbeats of all other processes would each
+    cause another poll of the table.
     """
     process = FakeProcess()
     for sequence, version in zip(sequences, versions, strict=True):
@@ -110,4 +111,4 @@
             host="a", bundle_sequence=sequence, bundle_digest="d", head_version=version
         )
         Process._hear_asker(process, beat)
-    assert process.looks == looks
+    assert process.polls == polls
--- a/tests/membership/test_relays.py
+++ b/tests/membership/test_relays.py
@@ -15,8 +15,8 @@
     return simulation.members[relay_of(region, simulation.names(region))]
 
 
-def test_one_pair_a_region_crosses_the_link_and_all_know_all(simulation):
-    """Without relays each of eleven processes asks each far placer."""
+def test_one_pair_of_placers_per_direction_uses_the_link(simulation):
+    """Without relays each of the eleven processes would contact each far placer."""
     simulation.crossings.clear()
     simulation.run(10)
     assert len(set(simulation.crossings)) == 2
@@ -24,7 +24,7 @@
         assert member.live() == simulation.all_placers()
 
 
-def test_an_unchanged_summary_crosses_as_its_version(simulation):
+def test_an_unchanged_summary_is_sent_as_its_version(simulation):
     simulation.link_bytes = 0
     simulation.run(30)
     unchanged = simulation.link_bytes
@@ -35,8 +35,8 @@
 
 
 def test_a_dead_relay_is_replaced_before_far_placers_seem_dead(simulation):
-    """The placer that speaks for the region is killed. Were nobody to take its
-    part in time, each region would hold the other for dead and take its shards.
+    """The relay of a region is killed. If no other placer replaced it in time, each
+    region would consider the other dead and claim its shards.
     """
     dead = relay(simulation, NORTH)
     dead.is_down = True
@@ -48,8 +48,8 @@
                 assert set(others) <= set(member.live())
 
 
-def test_a_dead_partner_is_passed_over(simulation):
-    """The far relay dies: asked on and on, it would hide its whole region."""
+def test_a_dead_relay_of_the_other_region_is_skipped(simulation):
+    """If the dead far relay were still contacted, its whole region would seem dead."""
     dead = simulation.members[relay_of("", simulation.names(SOUTH))]
     dead.is_down = True
     peers = simulation.members["gateway-north-tas-0"].peers
@@ -61,7 +61,7 @@
         assert max(peers.silence(peer) for peer in others) <= DEAD_AFTER
 
 
-def test_a_dead_placer_is_known_in_its_region_at_once_and_beyond_soon(simulation):
+def test_a_dead_placer_is_detected_in_both_regions(simulation):
     dead = "placer-north-tas-0"
     if relay(simulation, NORTH).name == dead:
         dead = "placer-north-tas-1"
@@ -73,8 +73,8 @@
     assert dead not in simulation.members["gateway-south-tas-0"].live()
 
 
-def test_a_lost_region_is_silent_in_time_for_a_takeover(simulation):
-    """A whole region goes; its shards wait for the other region to notice."""
+def test_a_failed_region_is_detected_in_time_for_a_takeover(simulation):
+    """A whole region fails; its shards stay unserved until the other one detects it."""
     for member in simulation.members.values():
         if member.entry.region == NORTH:
             member.is_down = True
@@ -83,7 +83,7 @@
         assert simulation.members[name].live() == simulation.names(SOUTH)
 
 
-def test_regions_that_lose_each_other_find_each_other_again(simulation):
+def test_regions_reconnect_after_a_network_partition(simulation):
     simulation.is_link_cut = True
     simulation.run(60)
     assert simulation.members["gateway-north-tas-0"].live() == simulation.names(NORTH)
@@ -93,32 +93,32 @@
         assert member.live() == simulation.all_placers()
 
 
-def test_without_a_near_placer_each_process_asks_for_itself():
-    """A region with gateways only has nobody to speak for it."""
+def test_without_a_near_placer_each_process_contacts_far_placers():
+    """A region with only gateways has no relay."""
     simulation = Simulation.of(north=0, south=3, gateways=2)
     assert simulation.members["gateway-north-tas-0"].live() == simulation.names(SOUTH)
 
 
-def test_a_relay_hears_of_a_changed_list_though_it_asks_itself_too(simulation):
-    """The list changes near the store. The relay hears its own word again over
-    loopback, with its own old tag; taken for the far placers', it hides the
-    change, and the region goes on with the old list.
+def test_a_relay_detects_a_changed_list_despite_its_own_summary(simulation):
+    """The list changes near the store. The relay also receives its own summary over
+    loopback, with its own old list tag. Applied to the far placers, that tag
+    would hide the change, and the region would keep using the old list.
     """
     for name in simulation.members:
         if simulation.members[name].entry.region == SOUTH:
             simulation.members[name].host_list.tag = "new"
         else:
             simulation.members[name].host_list.tag = "old"
-    speaker = relay(simulation, NORTH)
+    relay_member = relay(simulation, NORTH)
     for _ in range(8):
         simulation.run(0.5)
-    assert speaker.peers._list_has_changed()
+    assert relay_member.peers._list_has_changed()
 
 
-def test_a_word_told_again_does_not_grow_younger(simulation):
-    """Two placers have both been relays when the link is cut. Each tells the
-    other what it knows; told without its age, the other region would live on
-    between them for ever.
+def test_a_relayed_summary_keeps_its_age(simulation):
+    """Two placers have both been relays when the link fails, and each sends its
+    summary to the other. Without the age of the summaries, the placers of the
+    other region would seem alive forever.
     """
     first = relay(simulation, NORTH)
     first.is_down = True
--- a/tests/membership/test_wrong_lists.py
+++ b/tests/membership/test_wrong_lists.py
@@ -12,7 +12,7 @@
 
 
 def test_a_dead_placer_on_the_list_gets_no_work(simulation):
-    """The list names a placer for hours after its host died."""
+    """The list still names a placer whose host has died."""
     dead = simulation.members["placer-south-tas-0"]
     dead.is_down = True
     simulation.run(DEAD_AFTER + 0.5)
@@ -22,9 +22,9 @@
     assert not gateway.is_alive(dead.name)
 
 
-def test_a_live_placer_that_the_list_lost_keeps_its_shards(simulation):
-    """The list drops a placer that works; taken for dead, its shards would
-    move under its callers' hands.
+def test_a_live_placer_missing_from_the_list_keeps_its_shards(simulation):
+    """The list drops a placer that works. If it were considered dead, its shards
+    would move while callers use them.
     """
     gateway = simulation.members["gateway-south-tas-0"]
     lost = "placer-south-tas-0"
@@ -37,7 +37,7 @@
     assert gateway.peers.owner_of("south-tas.0").name == lost
 
 
-def test_a_list_that_is_down_changes_nothing(simulation):
+def test_an_unavailable_list_changes_nothing(simulation):
     for member in simulation.members.values():
         member.host_list.is_down = True
         member.peers.refresh()
@@ -45,7 +45,7 @@
     assert simulation.members["gateway-south-tas-0"].live() == simulation.all_placers()
 
 
-def test_a_new_placer_is_known_once_the_lagging_list_names_it(simulation):
+def test_a_new_placer_is_known_once_the_outdated_list_names_it(simulation):
     newcomer = simulation.add(
         "placer-south-tas-9", "placer", SOUTH, [("south-tas.9", 1)]
     )
@@ -57,15 +57,15 @@
     assert gateway.peers.owner_of("south-tas.9").name == newcomer.name
 
 
-def test_of_two_that_claim_a_shard_the_higher_epoch_is_asked(simulation):
-    """A frozen owner wakes and still claims what was taken over from it."""
+def test_of_two_owners_of_a_shard_the_one_with_the_higher_epoch_is_used(simulation):
+    """An owner resumes after a pause and still reports a shard that was taken over."""
     simulation.members["placer-south-tas-1"].shards.append(("south-tas.0", 2))
     simulation.run(2)
     gateway = simulation.members["gateway-south-tas-0"].peers
     assert gateway.owner_of("south-tas.0").name == "placer-south-tas-1"
 
 
-def test_a_silent_placer_is_nobodys_preferred_owner(simulation):
+def test_a_silent_placer_is_never_the_preferred_owner(simulation):
     simulation.members["placer-south-tas-0"].is_down = True
     simulation.run(DEAD_AFTER + 0.5)
     peers = simulation.members["placer-south-tas-1"].peers
@@ -86,7 +86,7 @@
         (True, False, 21, True),
     ],
 )
-def test_a_far_process_looks_where_something_may_have_changed(
+def test_a_far_process_polls_if_something_may_have_changed(
     has_store_contact, has_changed, waited, is_due
 ):
     clock = ManualClock()
--- a/tests/ownership/small_cell.py
+++ b/tests/ownership/small_cell.py
@@ -1,4 +1,4 @@
-"""Put shards together with stand-ins, without processes or sockets."""
+"""Run shards against stand-ins, without processes or sockets."""
 
 import json
 import random
@@ -26,7 +26,7 @@
 
 
 class SmallCell:
-    """A worker or more, an instance with one slot, as many owners as wanted."""
+    """Provide workers, an instance with one slot, and any number of shard owners."""
 
     def __init__(self, workers=("worker-1",)):
         self.clock = ManualClock()
@@ -55,7 +55,7 @@
         self.executor.shutdown()
 
     def process(self):
-        """Return what a shard needs of its process."""
+        """Return a stand-in for the process of a shard."""
         return SimpleNamespace(
             clock=self.clock,
             table=self.platform.table,
@@ -70,7 +70,7 @@
         )
 
     def claim(self, placer):
-        """Claim the shard; its hosts are closed still."""
+        """Claim the shard without opening its hosts."""
         row = claim(self.platform.table, read_shard(self.platform.table, SHARD), placer)
         bucket = TokenBucket(1000, 1000, self.clock)
         shard = Shard(row, self.process(), bucket, lambda shard: shard.close())
@@ -78,7 +78,7 @@
         return shard
 
     def take_over(self, placer):
-        """Claim the shard, fence its hosts and take the inventory."""
+        """Claim the shard, fence its hosts and read their inventories."""
         shard = self.claim(placer)
         self.refresh(shard)
         return shard
@@ -92,9 +92,9 @@
         self.workers.start(worker, shard.epoch, task, demand, 10, {"run_seconds": 99})
 
     def call(self, shard, request_id):
-        """Send a call that goes on running, as a gateway with a grant."""
-        counter = self.platform.instances
-        status, _, _ = counter.call("counts-1", request_id, shard.epoch, 1)
+        """Call the instance like a gateway with a grant; return the HTTP status."""
+        instances = self.platform.instances
+        status, _, _ = instances.call("counts-1", request_id, shard.epoch, 1)
         return status
 
 
--- a/tests/ownership/test_claims.py
+++ b/tests/ownership/test_claims.py
@@ -14,9 +14,9 @@
 UNOWNED = ShardRow(SHARD, "", 0, 0)
 
 
-def test_two_placers_that_read_the_same_row_do_not_both_own_it():
-    """Both read epoch 0 and claim epoch 1; without the compare-and-set both
-    place on the same hosts, and a user sees a host given twice its room.
+def test_only_one_of_two_placers_that_read_the_same_row_owns_it():
+    """Both placers read epoch 0 and claim epoch 1. Without the compare-and-set
+    both would place work on the same hosts and overcommit them.
     """
     table = MemoryTable()
     found = read_shard(table, SHARD)
@@ -35,10 +35,10 @@
         (LATE, "placer-a"),
     ],
 )
-def test_a_claim_without_an_answer_is_settled_by_the_row(step, owner):
-    """The claim's answer is lost, with the write done, not done or done late.
-    A placer that took it for failed would leave the shard unserved; one that
-    took it for done might serve a shard that another has.
+def test_a_claim_without_an_answer_is_resolved_from_the_row(step, owner):
+    """The answer to the claim is lost; the write was applied, not applied, or
+    applied late. A placer that assumed failure would leave the shard unserved;
+    one that assumed success might serve a shard that another placer owns.
     """
     table = ScriptedTable(step)
     owned = claim(table, UNOWNED, "placer-a")
@@ -49,9 +49,9 @@
     assert (row.owner, row.epoch, row.version) == (owner, 1, owned.version)
 
 
-def test_a_lost_claim_that_never_took_effect_is_not_taken_for_done():
-    """A's claim is lost on its way, B claims, then A looks. Two owners of one
-    epoch would both be let in by the workers.
+def test_a_lost_claim_that_never_took_effect_is_not_assumed_successful():
+    """A's claim is lost in transit, B claims the shard, then A reads the row.
+    Workers would accept two owners with the same epoch.
     """
     table = ScriptedTable(UNDONE_UNANSWERED)
     table.steps.insert(
@@ -63,9 +63,9 @@
 
 
 def test_an_owner_replaced_before_it_reads_back_does_not_serve():
-    """A's claim is done; before A reads the row's version, B, which holds A for
-    dead, claims the next epoch. A would serve with B's version of the row, and
-    its journal would take records on the strength of it.
+    """A's claim takes effect. Before A reads the row's version, B, which considers
+    A dead, claims the next epoch. A would serve under B's version of the row, and
+    A's journal would accept records under it.
     """
     table = MemoryTable()
     read = table.read
@@ -81,10 +81,10 @@
     assert lost.value.details == {"shard": SHARD, "owner": "placer-b", "epoch": 2}
 
 
-def test_a_claim_that_takes_effect_during_the_second_try_is_the_placers_own():
-    """The first try takes effect late, between the look at the row and the
-    second try, which then conflicts with the placer's own write. Taken for
-    somebody else's, the shard would stay unserved.
+def test_a_claim_that_takes_effect_during_the_retry_succeeds():
+    """The first attempt takes effect late, between the read of the row and the
+    second attempt, which then conflicts with the placer's own write. If the
+    write were mistaken for another placer's, the shard would stay unserved.
     """
     table = ScriptedTable(LATE, lambda: table.apply_late())
     owned = claim(table, UNOWNED, "placer-a")
@@ -92,15 +92,15 @@
 
 
 def test_a_claim_in_an_outage_leaves_the_owner_unknown():
-    """No answer at all: the placer must neither serve nor call it lost."""
+    """Without any answer the placer must neither serve the shard nor report it lost."""
     table = ScriptedTable(UNDONE_UNANSWERED, UNDONE_UNANSWERED)
     with pytest.raises(TableUnavailable):
         claim(table, UNOWNED, "placer-a")
 
 
 def test_a_release_by_an_earlier_owner_does_not_free_the_shard():
-    """A is frozen in its shutdown, B takes over, A wakes and releases: the
-    shard would seem unowned while B serves it, and a third would take it.
+    """A is paused during its shutdown, B takes over, A resumes and releases. The
+    shard would seem unowned while B serves it, and a third placer would claim it.
     """
     table = MemoryTable()
     earlier = claim(table, UNOWNED, "placer-a")
@@ -110,8 +110,8 @@
     assert read_shard(table, SHARD).owner == "placer-b"
 
 
-def test_a_released_shard_keeps_its_epoch_so_that_the_next_is_higher():
-    """An epoch that began again would be refused by every fenced worker."""
+def test_a_released_shard_keeps_its_epoch_so_that_the_next_one_is_higher():
+    """Every fenced worker would refuse an owner whose epoch restarted."""
     table = MemoryTable()
     released = release(table, claim(table, UNOWNED, "placer-a"))
     assert claim(table, released, "placer-b").epoch == 2
--- a/tests/ownership/test_grants.py
+++ b/tests/ownership/test_grants.py
@@ -10,11 +10,11 @@
 @pytest.mark.parametrize(
     ("wait", "run"), [(0.0, 5.0), (2.6, 5.0), (10.0, 5.0), (10.0, 0.1)]
 )
-def test_a_slot_is_not_taken_back_while_its_grant_may_be_used(wait, run):
-    """A gateway is frozen between the grant and the send. The placer, past the
-    upper bound of a run, asks the backend server, which knows of no call, and
-    gives the slot to another; the gateway wakes within its own window and
-    calls as well: one slot, two calls.
+def test_a_slot_is_not_reclaimed_while_its_grant_may_be_used(wait, run):
+    """A gateway is paused between the grant and its call. After the maximum run
+    time the placer queries the backend server, which reports no call, and grants
+    the slot to another request. The gateway resumes within its own grant window
+    and calls as well, so that one slot runs two calls.
     """
     with SmallCell() as cell:
         shard = cell.take_over("placer-a")
--- a/tests/ownership/test_leases.py
+++ b/tests/ownership/test_leases.py
@@ -11,26 +11,26 @@
 LEASE = 10.0
 
 
-class CutPool(InProcessPool):
-    """Reach all but the workers."""
+class UnreachablePool(InProcessPool):
+    """Fail every request as not sent."""
 
     def request(self, method, url, *rest, **more):
         raise NotSent(url=url)
 
 
 class Owner:
-    """Run jobs of the shard as one owner."""
+    """Run the shard's jobs as one of its owners."""
 
     def __init__(self, cell, name, pool=None):
         self.cell = cell
         self.shard = cell.take_over(name)
         process = cell.process()
-        self.desk = WorkDispatcher(process)
+        self.dispatcher = WorkDispatcher(process)
         workers = WorkerClient(pool) if pool else cell.workers
-        self.runner = JobRunner(process, workers, self.desk)
+        self.runner = JobRunner(process, workers, self.dispatcher)
 
     def read_journal(self):
-        """Take over what the earlier owner journaled."""
+        """Load what the earlier owner journaled."""
         platform = self.cell.platform
         state = read_journal(platform.table, platform.objects, self.shard.name)
         self.shard.use_journal(state)
@@ -44,9 +44,9 @@
         self.runner.renew(self.shard)
 
     def is_rerun(self):
-        """Return whether the job was handed to the runners again."""
+        """Return whether the job was dispatched again."""
         self.cell.clock.advance(0.3)
-        return self.desk.take(0) is not None
+        return self.dispatcher.take(0) is not None
 
 
 @pytest.fixture
@@ -56,7 +56,7 @@
 
 
 def start(cell, owner):
-    """Journal a job of one member that fills a worker, and start it."""
+    """Journal and start a job whose single member fills a worker."""
     job = {"members": 1, "demand": CAPACITY, "work": {"run_seconds": 9999}}
     record = Accepted("r", "job", "model", "", "", "", "", 9e9, True, job)
     owner.shard.journal.append(record)
@@ -68,17 +68,18 @@
 
 
 def places(cell):
-    """Return in how many places the job runs."""
+    """Return on how many workers the job runs."""
     return sum(len(tasks) for tasks in cell.platform.workers.running().values())
 
 
 @pytest.mark.parametrize("answer_is_lost", [False, True])
-def test_a_worker_cut_off_after_a_renewal_keeps_its_job_until_the_lease_is_over(
+def test_an_unreachable_worker_keeps_its_job_until_the_lease_expires(
     cell, answer_is_lost
 ):
-    """The lease is renewed after four seconds, with or without an answer, and
-    the worker is cut off. Counted from the start, the lease seems over at ten
-    seconds, and the job runs on two workers until fourteen.
+    """The lease is renewed after four seconds, with or without an answer; then the
+    worker becomes unreachable. If the lease were measured from the start of the
+    job, it would seem expired after ten seconds, and the job would run on two
+    workers until second fourteen.
     """
     owner = Owner(cell, "placer-a")
     start(cell, owner)
@@ -100,8 +101,8 @@
     assert owner.is_rerun()
 
 
-def test_a_worker_that_comes_back_within_its_lease_goes_on_with_its_job(cell):
-    """A cut of eight seconds ends; the job is renewed and not started twice."""
+def test_a_worker_reachable_again_within_its_lease_keeps_its_job(cell):
+    """After eight seconds without contact the job is renewed and not restarted."""
     owner = Owner(cell, "placer-a")
     start(cell, owner)
     cell.platform.board.set(host_of(owner), "down")
@@ -116,15 +117,15 @@
     assert not owner.is_rerun()
 
 
-def test_a_successor_waits_for_the_word_of_a_worker_it_cannot_reach(cell):
-    """A is cut from the table and its peers but goes on renewing. B takes the
-    shard over and can't reach the worker; however long it waits by its own
-    clock, the job may run there still.
+def test_a_successor_does_not_restart_the_job_of_an_unreachable_worker(cell):
+    """A has lost the table and its peers but continues to renew. B takes the shard
+    over and can't reach the worker. However long B waits by its own clock, the
+    job may still run on that worker.
     """
     earlier = Owner(cell, "placer-a")
     start(cell, earlier)
-    successor = Owner(cell, "placer-b", CutPool(cell.platform))
-    # The worker has not heard of B: its fence is still at A's epoch.
+    successor = Owner(cell, "placer-b", UnreachablePool(cell.platform))
+    # B has not fenced the worker, whose fence is still at A's epoch.
     cell.platform.workers._workers[host_of(earlier)].epoch = earlier.shard.epoch
     successor.read_journal()
     successor.runner.recover(successor.shard, successor.shard.work_index.get("r"))
@@ -140,9 +141,9 @@
     return owner.shard.work_index.get("r").started.places[0]["host"]
 
 
-def test_a_job_whose_worker_is_off_the_list_waits(cell):
-    """The list lags and names a worker no more that runs the job still; a stop
-    can't be sent, and must not be taken for confirmed.
+def test_a_job_whose_worker_is_not_listed_is_not_restarted(cell):
+    """The host list is outdated and omits a worker that still runs the job. No stop
+    can be sent, and the job must not count as stopped.
     """
     earlier = Owner(cell, "placer-a")
     start(cell, earlier)
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -19,9 +19,9 @@
         yield found
 
 
-def test_an_owner_frozen_between_check_and_send_starts_nothing(cell):
-    """A checks its ledger and is frozen; B takes over and fills the worker; A
-    wakes and sends its start. Without the fence the host holds both.
+def test_an_owner_paused_between_check_and_send_starts_nothing(cell):
+    """A checks its ledger and is paused, B takes over and fills the worker, A
+    resumes and sends its start. Without the fence the host would run both tasks.
     """
     earlier = cell.take_over("placer-a")
     earlier.hosts.reserve("worker-1", "late", WHOLE)
@@ -34,9 +34,9 @@
     assert cell.platform.workers.overfilled() == 0
 
 
-def test_a_start_that_landed_before_the_fence_is_counted(cell):
-    """A's start reaches the worker just before B's fence. Without the
-    inventory B's ledger is empty and B fills the worker a second time.
+def test_a_start_that_arrived_before_the_fence_is_counted(cell):
+    """A's start reaches the worker just before B's fence. Without the inventory
+    B's ledger would be empty, and B would fill the worker a second time.
     """
     earlier = cell.take_over("placer-a")
     cell.start(earlier, "first", CAPACITY)
@@ -45,9 +45,9 @@
         newer.hosts.reserve("worker-1", "second", Amounts(processors=1))
 
 
-def test_a_worker_is_fenced_before_its_inventory_is_believed(cell):
-    """The worker can't be reached at the takeover. Were it opened without the
-    fence, the earlier owner's start would come on top of the new owner's.
+def test_a_worker_is_fenced_before_its_inventory_is_used(cell):
+    """The worker is unreachable during the takeover. If it were opened without a
+    fence, it would run starts of the earlier and of the new owner together.
     """
     earlier = cell.take_over("placer-a")
     cell.platform.board.set("worker-1", "down")
@@ -61,8 +61,8 @@
 
 
 def test_an_unanswered_start_is_reserved_before_it_is_sent(cell):
-    """The answer to a start is lost; the room stays taken, so a second task of
-    the same size is not sent to a host that runs the first.
+    """The answer to a start is lost. The capacity stays reserved, so that no second
+    task of the same size is sent to a host that runs the first.
     """
     shard = cell.take_over("placer-a")
     shard.hosts.reserve("worker-1", "first", WHOLE)
@@ -75,8 +75,9 @@
 
 
 def test_an_earlier_owner_can_journal_nothing(cell):
-    """A is frozen, B takes over, A wakes and accepts work in its own journal:
-    without the epoch's condition B would never know of it and it be lost.
+    """A is paused, B takes over, A resumes and accepts work in its own journal.
+    Without the condition on the epoch B would not know of the work, and it would
+    be lost.
     """
     earlier = cell.take_over("placer-a")
     cell.take_over("placer-b")
@@ -87,9 +88,10 @@
     assert earlier.is_closed
 
 
-def test_a_woken_owner_decides_nothing_before_it_has_looked(cell):
-    """A placer is frozen for longer than the allowed gap. It still believes in
-    its shard; a grant given now could be for a slot that B gave out.
+def test_an_owner_decides_nothing_after_a_pause_until_confirmed(cell):
+    """A placer is paused for longer than allowed and still considers itself the
+    owner of its shard. A grant issued now could be for a slot that a newer owner
+    has granted already.
     """
     shard = cell.take_over("placer-a")
     shard.check_serving()
@@ -101,8 +103,8 @@
 
 
 def test_a_grant_of_an_earlier_owner_is_refused_by_the_instance(cell):
-    """A gateway is frozen with A's grant; B takes over, finds the slot free
-    and grants it again. Without the fence one slot runs two calls.
+    """A gateway is paused with A's grant; B takes over, finds the slot free and
+    grants it again. Without the fence one slot would run two calls.
     """
     earlier = cell.take_over("placer-a")
     newer = cell.take_over("placer-b")
@@ -111,9 +113,9 @@
     assert cell.platform.instances.runs() == {"first": 1}
 
 
-def test_a_call_that_runs_at_the_takeover_keeps_its_slot(cell):
+def test_a_call_that_runs_during_the_takeover_keeps_its_slot(cell):
     """A gateway's call runs under A's grant when B takes over. Without the
-    inventory B gives the one slot to a second call.
+    inventory B would grant the only slot to a second call.
     """
     earlier = cell.take_over("placer-a")
     cell.platform.board.set("counts-1", "freeze")
@@ -130,10 +132,10 @@
     assert running.result() == 200
 
 
-def test_a_host_that_has_left_the_list_gets_nothing_until_it_is_back():
-    """A worker and a backend server go without a word and are dropped from the
-    live list. Work sent there waits for timeouts; once the list names them
-    again they are fenced, counted and used as before.
+def test_an_unlisted_host_gets_no_work_until_it_is_listed_again():
+    """A worker and a backend server fail and are removed from the host list. Work
+    sent to them would wait for timeouts. Once they are listed again, they are
+    fenced, inventoried and used as before.
     """
     with SmallCell() as cell:
         shard = cell.take_over("placer-a")
