--- a/papayapick/journal/commands.py
+++ b/papayapick/journal/commands.py
@@ -1,4 +1,4 @@
-"""Fold a shard's segments into a snapshot."""
+"""Compact a shard's segments into a snapshot."""
 
 import json
 
@@ -7,17 +7,18 @@
 
 __all__ = ["MAX_DELETED_ROWS", "write_snapshot"]
 
-# Rows deleted in one transaction with the snapshot's row.
+# Limit of the transaction that also writes the snapshot's row.
 MAX_DELETED_ROWS = 500
 
 
 def write_snapshot(table, objects, owned, records, keys, version, name):
-    """Store what a shard's requests amount to, and delete what it stands for.
+    """Store a snapshot of a shard's requests and delete the compacted segments.
 
-    The object is stored first; the row that names it changes in one
-    transaction with the deletes and with "the shard is still mine". Whatever
-    answer is lost, either the old segments or the snapshot are read, and
-    reading some segments on top of the snapshot gives the same.
+    The snapshot object is stored first. The row that names it changes in one
+    transaction with the deletes, on condition that the shard's row is unchanged.
+    Even if an answer is lost, a reader sees either the old segments or the
+    snapshot. Applying segments on top of a snapshot that contains them already
+    gives the same state.
 
     Parameters
     ----------
@@ -25,25 +26,25 @@
     objects : ObjectsProtocol
     owned : ShardRow
     records : list of Record
-        What all the segments amount to.
+        Records that reproduce the state after all segments.
     keys : list of str
-        Of the segments to delete, oldest first, at most ``MAX_DELETED_ROWS``.
+        Keys of the segments to delete, oldest first, at most ``MAX_DELETED_ROWS``.
     version : int
-        Of the snapshot's row as it was read, 0 where there is none.
+        Version of the snapshot's row as last read; 0 if there is no row.
     name : str
-        Of the object, never used before.
+        Name of the new object; must not have been used before.
 
     Returns
     -------
     int
-        New version of the snapshot's row.
+        The new version of the snapshot's row.
 
     Raises
     ------
     TransactionConflict
-        A newer owner has the shard.
+        The shard has a newer owner.
     TableUnavailable, ObjectsUnavailable
-        Whether it took effect is unknown; read the row.
+        Whether the snapshot took effect is unknown; the row must be read.
     """
     row_key = snapshot_key(owned.shard)
     data = json.dumps([record.as_mapping() for record in records]).encode()
--- a/papayapick/journal/entries.py
+++ b/papayapick/journal/entries.py
@@ -1,4 +1,4 @@
-"""Follow records on their way into the journal."""
+"""Track records until they are durable."""
 
 from concurrent.futures import Future
 
@@ -6,10 +6,17 @@
 
 
 class Entry:
-    """Pair a record with its fate.
+    """Hold a record and the futures of its write.
 
-    ``written`` is told at once, with JournalUnsettled where the fate is open;
-    ``settled`` gets True or False once it is known.
+    ``written`` completes after the first write attempt, with JournalUnsettled if
+    the result is unknown. ``settled`` becomes True or False once it is known
+    whether the record was written.
+
+    Parameters
+    ----------
+    record : Record
+    must_persist : bool
+        Keep the entry queued while the result of another write is unknown.
     """
 
     __slots__ = ("must_persist", "record", "settled", "written")
@@ -21,13 +28,13 @@
         self.settled = Future()
 
     def succeed(self):
-        """Tell that the record is durable."""
+        """Complete the futures: the record is durable."""
         if not self.written.done():
             self.written.set_result(None)
         self.settled.set_result(True)
 
     def fail(self, error):
-        """Tell that the record is not written, with the reason."""
+        """Complete the futures: the record was not written because of an error."""
         if not self.written.done():
             self.written.set_exception(error)
         self.settled.set_result(False)
--- a/papayapick/journal/exceptions.py
+++ b/papayapick/journal/exceptions.py
@@ -13,7 +13,7 @@
 
 
 class JournalError(PapayapickError):
-    """Stand for any error of the journal."""
+    """Base class of journal errors."""
 
     code = "journal.error"
     outcome = "unknown"
@@ -21,18 +21,20 @@
 
 
 class JournalUnavailable(JournalError):
-    """Report a journal that takes no records; nothing was written."""
+    """Report a journal that accepts no records; nothing was written."""
 
     code = "journal.unavailable"
-    template = "the journal of shard {shard} takes no records now"
+    template = "the journal of shard {shard} accepts no records at present"
     outcome = "not_run"
 
 
 class JournalUnsettled(JournalError):
-    """Report a record that may have been written: the answer was lost."""
+    """Report a record that may have been written, since the answer was lost."""
 
     code = "journal.unsettled"
-    template = "whether shard {shard} holds the record is not known yet"
+    template = (
+        "it is not known yet whether the journal of shard {shard} holds the record"
+    )
 
 
 class JournalFenced(JournalError):
@@ -45,16 +47,18 @@
 
 
 class KeyReused(JournalError):
-    """Report an idempotency key that came with another payload."""
+    """Report an idempotency key that was reused with a different payload."""
 
     code = "journal.key-reused"
-    template = "the idempotency key of request {request_id} had another payload"
+    template = (
+        "the idempotency key of request {request_id} was used with another payload"
+    )
     outcome = "not_run"
     retry_after = 0
 
 
 class WorkUnknown(JournalError):
-    """Report a request that the shard's journal does not hold."""
+    """Report a request that is not in the shard's journal."""
 
     code = "journal.work-unknown"
     template = "request {request_id} is not known"
--- a/papayapick/journal/queries.py
+++ b/papayapick/journal/queries.py
@@ -1,4 +1,4 @@
-"""Read a shard's journal back."""
+"""Load a shard's work from its journal."""
 
 import json
 
@@ -20,25 +20,25 @@
 
 
 def segment_key(shard, epoch, number):
-    """Return the key of one segment; keys sort in the order of writing."""
+    """Return the key of one segment; keys sort in write order."""
     return f"{journal_prefix(shard)}{epoch:010d}/{number:010d}"
 
 
 def snapshot_key(shard):
-    """Return the row that names a shard's snapshot object."""
+    """Return the key of the row that names a shard's snapshot object."""
     return f"snapshot/{shard}"
 
 
 class JournalState:
-    """Hold what a shard's journal said when it was read.
+    """Hold the state of a shard's journal as read.
 
     Parameters
     ----------
     work_index : WorkIndex
     keys : list of str
-        Of the segments, oldest first.
+        Keys of the segments, oldest first.
     snapshot_version : int
-        Of the row that names the snapshot, 0 where there is none.
+        Version of the row that names the snapshot; 0 if there is no row.
     """
 
     __slots__ = ("keys", "snapshot_version", "work_index")
@@ -50,7 +50,7 @@
 
 
 def read_journal(table, objects, shard):
-    """Rebuild the requests of a shard from snapshot and segments.
+    """Rebuild the requests of a shard from its snapshot and segments.
 
     Returns
     -------
--- a/papayapick/journal/records.py
+++ b/papayapick/journal/records.py
@@ -1,4 +1,4 @@
-"""Describe the records of the journal."""
+"""Records of the journal and their stored form."""
 
 __all__ = [
     "Accepted",
@@ -13,16 +13,16 @@
 
 
 class Record:
-    """Stand for one record about one request.
+    """Base class of the records of a request.
 
-    The names in ``__slots__`` of a subclass are the fields of its stored form.
+    The ``__slots__`` of a subclass are the field names of its stored form.
     """
 
     __slots__ = ("request_id",)
     kind = ""
 
     def as_mapping(self):
-        """Return the stored form, JSON values only."""
+        """Return the stored form, which contains only JSON values."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         return {"kind": self.kind, "request_id": self.request_id, **fields}
 
@@ -34,25 +34,25 @@
 
 
 class Accepted(Record):
-    """Say that a request was taken on.
+    """Record that a request was accepted.
 
     Parameters
     ----------
     request_id : str
     work : {"request", "job"}
     name : str
-        Of the service or kind of job.
+        Name of the service or kind of job.
     caller : str
     payload : str
-        Base64 of a small payload, else empty.
+        Base64 of a small payload; empty for a large one.
     payload_object : str
-        Object that holds a large payload, else empty.
+        Name of the object with a large payload; empty for a small one.
     payload_digest : str
     deadline : float
         Seconds since the epoch.
     repeatable : bool
     job : dict or None
-        ``members`` and ``demand`` of a job.
+        ``members``, ``demand`` and ``work`` of a job.
     """
 
     __slots__ = (
@@ -94,14 +94,14 @@
 
 
 class Started(Record):
-    """Say that a request is about to be sent, before its first byte leaves.
+    """Record that a request is about to be sent, before its first byte is sent.
 
     Parameters
     ----------
     request_id : str
     attempt : int
     places : list of dict
-        ``host``, ``url`` and ``task`` of each place the work may run in.
+        ``host``, ``url`` and ``task`` of each place where the work may run.
     time : float
         Seconds since the epoch.
     """
@@ -117,20 +117,21 @@
 
 
 class Ended(Record):
-    """Say what became of a request, for good.
+    """Record the final outcome of a request.
 
     Parameters
     ----------
     request_id : str
     outcome : {"done", "failed", "unknown", "not_run"}
     status : int
-        HTTP status of the backend server, 0 where there is none.
+        HTTP status of the backend server; 0 if it sent none.
     content_type : str
     result : str
-        Base64 of a small result, else empty.
+        Base64 of a small result; empty for a large one.
     result_object : str
+        Name of the object with a large result; empty for a small one.
     detail : str
-        Code of the error that ended it, else empty.
+        Code of the error that ended the request; empty if there was none.
     time : float
     """
 
@@ -167,7 +168,7 @@
 
 
 class Cancelled(Record):
-    """Say that a request is not to start; void where it has started.
+    """Record that a request must not start; ignored if it has started already.
 
     Parameters
     ----------
@@ -183,7 +184,7 @@
         self.time = time
 
     def as_ended(self):
-        """Return the outcome where the request had not started."""
+        """Return the outcome of the request if it had not started."""
         return Ended(self.request_id, "not_run", self.time, detail=CANCELLED)
 
 
--- a/papayapick/journal/segments.py
+++ b/papayapick/journal/segments.py
@@ -1,4 +1,4 @@
-"""Know which segments a journal has, and when to fold them into a snapshot."""
+"""Track the segments of a journal and compact them into snapshots."""
 
 from papayapick.clients import Condition
 from papayapick.journal.commands import MAX_DELETED_ROWS, write_snapshot
@@ -10,7 +10,7 @@
 
 
 class Segments:
-    """Hold the segments that one owner has read or written, and the next one's key.
+    """Track the segments that one owner has read or written.
 
     Parameters
     ----------
@@ -23,25 +23,25 @@
         self._owned = owned
         self._keys = []
         self._next = 0
-        # Records in the segments that no snapshot holds yet.
+        # Number of records in segments that are not in a snapshot yet.
         self._records = 0
         self._snapshot_version = 0
 
     @property
     def next_key(self):
-        """Return the key of the segment that is written next."""
+        """Return the key of the next segment to write."""
         return segment_key(self._owned.shard, self._owned.epoch, self._next)
 
     def resume_from(self, state):
-        """Continue the journal that was read; before the first record."""
+        """Continue from a journal as read; must precede the first write."""
         self._keys = list(state.keys)
         self._snapshot_version = state.snapshot_version
 
     def conditions(self, key):
         """Return the conditions under which a segment may be written.
 
-        The snapshot's row is one of them: a write whose answer was lost and whose key
-        a compaction has freed since must not take effect.
+        They include the snapshot's row: a delayed write whose answer was lost must not
+        take effect after a compaction has deleted the row under its key.
         """
         return [
             Condition(self._owned.key, self._owned.version),
@@ -50,19 +50,19 @@
         ]
 
     def note_written(self, key, records):
-        """Take in that the next segment was written, with so many records."""
+        """Record that the next segment was written with a number of records."""
         self._next += 1
         self._keys.append(key)
         self._records += records
 
     def is_compaction_due(self, items):
-        """Return whether folding saves more than it costs.
+        """Return whether a compaction saves more than it costs.
 
         Parameters
         ----------
         items : int
-            Requests that the snapshot would hold: writing it anew for a few
-            segments costs more bytes than the segments.
+            Number of requests in the snapshot. Rewriting a large snapshot for a few
+            segments would cost more bytes than the segments themselves.
         """
         count = len(self._keys)
         if count >= MAX_DELETED_ROWS:
@@ -70,19 +70,19 @@
         return count >= _SEGMENTS_PER_SNAPSHOT and self._records >= items / 2
 
     def compact(self, table, objects, records):
-        """Replace the segments written so far by one snapshot.
+        """Replace the segments written so far with one snapshot.
 
         Parameters
         ----------
         table : TableProtocol
         objects : ObjectsProtocol
         records : list of Record
-            What the segments amount to.
+            Records that reproduce the state after all segments.
 
         Raises
         ------
         TransactionConflict, TableUnavailable, ObjectsUnavailable
-            What was written stays readable.
+            The records stay readable.
         """
         owned = self._owned
         name = f"snapshot/{owned.shard}/{owned.epoch:010d}/{self._next:010d}"
--- a/papayapick/journal/work.py
+++ b/papayapick/journal/work.py
@@ -1,4 +1,4 @@
-"""Fold records into the state of each request."""
+"""Build the state of each request from the records of the journal."""
 
 from papayapick.journal.exceptions import KeyReused, WorkUnknown
 from papayapick.journal.records import Accepted, Cancelled, Started
@@ -24,8 +24,8 @@
 
     def __init__(self, accepted):
         self.accepted = accepted
-        # Kept by the process that runs it: whether a byte was ever sent. Only
-        # without one is "not run" said of work whose start is journaled.
+        # Whether any byte was sent, as known by the process that runs the work. Work
+        # whose start is journaled may be reported as "not run" only if none was.
         self.may_have_run = False
         self.started = None
         self.ended = None
@@ -44,22 +44,22 @@
 
     @property
     def attempts(self):
-        """Return how often the work has been started."""
+        """Return the number of times the work was started."""
         return self.started.attempt if self.started else 0
 
     @property
     def refusal_outcome(self):
-        """Return the outcome of giving up now."""
+        """Return the outcome if the request is refused now."""
         return UNKNOWN if self.may_have_run else NOT_RUN
 
     def records(self):
-        """Return the records that give this state again."""
+        """Return the records that reproduce this state."""
         found = (self.accepted, self.started, self.ended)
         return [record for record in found if record is not None]
 
 
 class WorkIndex:
-    """Hold the requests of one shard by id."""
+    """Index the requests of one shard by id."""
 
     __slots__ = ("_items",)
 
@@ -75,16 +75,16 @@
         return list(self._items.values())
 
     def apply(self, record):
-        """Fold in one record; a later record of a request goes before earlier.
+        """Apply one record; later records of a request replace earlier ones.
 
-        Once a request has ended its outcome never changes: a caller may have
-        heard it.
+        Once a request has ended its outcome never changes, because a caller may
+        have received it.
         """
         if isinstance(record, Accepted):
             self._items.setdefault(record.request_id, WorkItem(record))
             return
         item = self._items.get(record.request_id)
-        # A record of a request that was forgotten since tells nothing new.
+        # Records of removed or ended requests have no effect.
         if item is None or item.ended is not None:
             return
         if isinstance(record, Started):
@@ -95,31 +95,31 @@
             item.ended = record
 
     def mark_started_as_run(self):
-        """Take every start for a run: its owner's knowledge died with it."""
+        """Assume that started work has run: only the earlier owner knew otherwise."""
         for item in self._items.values():
             item.may_have_run = item.started is not None
 
     @staticmethod
     def _cancel(item, record):
-        # The journal's order decides a race with the start: behind it, "not
-        # run" would be told of work that is being sent.
+        # The order of the journal decides a race with the start: a cancellation after
+        # the start would report work as "not run" that is being sent.
         if item.started is None:
             item.ended = record.as_ended()
 
     def get(self, request_id):
-        """Return a request; raise WorkUnknown."""
+        """Return the request with an id; raise WorkUnknown."""
         try:
             return self._items[request_id]
         except KeyError:
             raise WorkUnknown(request_id=request_id) from None
 
     def find_duplicate(self, request_id, payload_digest):
-        """Return a request seen before under the same key, or None.
+        """Return the earlier request under the same idempotency key, or None.
 
         Raises
         ------
         KeyReused
-            The payload is another one.
+            The earlier request had a different payload.
         """
         item = self._items.get(request_id)
         if item is not None and item.accepted.payload_digest != payload_digest:
@@ -127,7 +127,7 @@
         return item
 
     def remove_ended_before(self, time):
-        """Drop the requests that ended before a time, in seconds since the epoch."""
+        """Remove requests that ended before a time in seconds since the epoch."""
         for request_id, item in list(self._items.items()):
             if item.ended is not None and item.ended.time < time:
                 del self._items[request_id]
--- a/papayapick/journal/writer.py
+++ b/papayapick/journal/writer.py
@@ -1,4 +1,4 @@
-"""Write records in segments, fenced by the shard's epoch."""
+"""Write records in segments, fenced by the shard's row."""
 
 import random
 import threading
@@ -22,15 +22,15 @@
 
 _LOG = get_logger(__name__)
 _RECORDS_PER_SEGMENT = 256
-_SETTLE_SECONDS = 0.25
+_RESOLVE_RETRY_SECONDS = 0.25
 
 
 class Journal:
     """Append records to the journal of one shard at one epoch.
 
-    Records that come within the linger share one row, written in one
-    transaction with the condition that the shard's row has not changed. So an
-    owner that was replaced can write nothing any more.
+    Records appended within the linger time share one row. It is written in a
+    transaction on condition that the shard's row has not changed, so an owner
+    that was replaced can't write any more.
 
     Parameters
     ----------
@@ -38,18 +38,18 @@
     owned : ShardRow
     clock : Clock
     linger : float
-        Seconds that a record waits for others.
+        Seconds that a record waits for others to share its segment.
     bucket : TokenBucket
-        Writes that the process may make.
+        Limits the journal writes of the process.
     on_fenced : callable, optional
-        Called once when a newer owner is met.
+        Called when a write fails because the shard has a newer owner.
     on_written : callable, optional
-        Called with each durable record, in the order of the journal and before
-        its future is settled.
+        Called with each durable record, in journal order and before its futures
+        complete.
     on_segment : callable, optional
-        Called by the task of the journal between two segments.
+        Called by the journal's task between two segments.
     generator : random.Random, optional
-        Spreads the tries of many journals after an outage.
+        Spreads the retries of many journals after an outage.
     """
 
     __slots__ = (
@@ -108,12 +108,12 @@
 
     @property
     def is_available(self):
-        """Return whether records are taken now."""
+        """Return whether the journal accepts records now."""
         return not (self._is_fenced or self._is_settling or self._is_closed)
 
     @property
     def is_idle(self):
-        """Return whether every record taken so far has its fate."""
+        """Return whether no accepted record is queued or being written."""
         with self._lock:
             return not (self._entries or self._is_writing)
 
@@ -124,19 +124,19 @@
         ----------
         record : Record
         must_persist : bool
-            Take the record even during an outage: an outcome is known already
-            and is written as soon as the table is back.
+            Accept the record even during an outage, for an outcome that is known
+            already. It is written as soon as the table is available again.
 
         Returns
         -------
         Entry
-            Its future ``written`` gives None, or raises JournalUnsettled or
-            JournalFenced.
+            Its future ``written`` returns None, or raises JournalUnsettled,
+            JournalUnavailable or JournalFenced.
 
         Raises
         ------
         JournalFenced, JournalUnavailable
-            Nothing will be written.
+            The record was not accepted.
         """
         with self._lock:
             if self._is_fenced or self._is_closed:
@@ -149,7 +149,7 @@
         return entry
 
     def run(self):
-        """Write segments until closed; the task of this journal."""
+        """Write segments until the journal is closed; run as the journal's task."""
         while not self._stop.is_set():
             self._clock.wait(self._wakeup, 1.0)
             if self._entries and not self._stop.is_set():
@@ -159,29 +159,29 @@
             try:
                 self._on_segment()
             except (TableUnavailable, ObjectsUnavailable):
-                _LOG.info("compaction put off", extra={"shard": self._owned.shard})
+                _LOG.info("compaction postponed", extra={"shard": self._owned.shard})
 
     def resume_from(self, state):
-        """Continue the journal that was read; before the first record."""
+        """Continue from a journal as read; must precede the first record."""
         self._segments.resume_from(state)
 
     def is_compaction_due(self, items):
-        """Return whether folding saves more than it costs; see ``Segments``."""
+        """Return whether a compaction saves more than it costs; see ``Segments``."""
         return self._segments.is_compaction_due(items)
 
     def compact(self, objects, records):
-        """Replace the segments written so far by one snapshot.
+        """Replace the segments written so far with one snapshot.
 
         Parameters
         ----------
         objects : ObjectsProtocol
         records : list of Record
-            What the segments amount to.
+            Records that reproduce the state after all segments.
 
         Raises
         ------
         TableUnavailable, ObjectsUnavailable
-            It is tried again later; what was written stays readable.
+            The compaction can be retried later; the records stay readable.
         """
         self._wait_for_token()
         try:
@@ -190,7 +190,7 @@
             self._fence([])
 
     def close(self):
-        """Stop the task; what is queued fails."""
+        """Stop the task and fail all queued records."""
         self._is_closed = True
         self._stop.set()
         self._wakeup.set()
@@ -200,26 +200,26 @@
             entry.fail(JournalFenced(shard=self._owned.shard))
 
     def flush(self):
-        """Write all that is queued, in the calling thread.
+        """Write all queued records in the calling thread.
 
-        A segment that the journal's task is writing is waited for: its records are
-        not queued any more, and a shard that was released under it lost the end of
-        work that was done.
+        Also waits for a segment that the journal's task is writing, whose records
+        are not in the queue any more. Releasing the shard during that write would
+        lose the outcomes of completed work.
         """
         while not (self.is_idle or self._is_fenced or self._stop.is_set()):
             self.write_segment()
 
     def write_segment(self):
-        """Write what is queued as one row and settle its fate."""
-        # A flush at shutdown meets the task of this journal: two segments under
-        # one number would conflict and look like a newer owner.
+        """Write queued records as one segment and determine whether it was written."""
+        # A flush at shutdown runs concurrently with the journal's task: two segments
+        # with the same number would conflict, which looks like a newer owner.
         with self._writing:
             with self._lock:
                 batch = self._entries[:_RECORDS_PER_SEGMENT]
                 del self._entries[: len(batch)]
                 if not self._entries:
-                    # What is left of a wave wakes the task again at once: it would
-                    # sleep a second after each segment.
+                    # Cleared only if no records are left. Otherwise the task would
+                    # sleep for a second after each segment of a burst.
                     self._wakeup.clear()
                 self._is_writing = bool(batch)
             try:
@@ -248,23 +248,25 @@
         self._table.transact(conditions, [Write(key, {"records": records})])
 
     def _settle(self, key, batch):
-        # The write may have taken effect, and may still take effect later. An
-        # empty segment under the same key decides it: either it is created, and
-        # the late write fails on the existing row, or the first one is there.
+        # The write may have taken effect or may take effect later. Writing an empty
+        # segment under the same key resolves this: either it is created and the
+        # delayed write fails because the row exists, or the first write is there.
         self._refuse_queued()
-        _LOG.warning("journal unsettled", extra={"shard": self._owned.shard})
+        _LOG.warning(
+            "result of a journal write unknown", extra={"shard": self._owned.shard}
+        )
         for entry in batch:
             entry.written.set_exception(JournalUnsettled(shard=self._owned.shard))
         while not self._stop.is_set():
             try:
-                was_written = self._decide(key, batch)
+                was_written = self._resolve(key, batch)
             except TransactionConflict:
                 self._fence(batch)
                 return
             except TableUnavailable:
-                # Many journals try again when the table is back: spread them.
-                share = 0.5 + self._generator.random()
-                self._clock.wait(self._stop, _SETTLE_SECONDS * share)
+                # Spread the retries of many journals after an outage.
+                jitter = 0.5 + self._generator.random()
+                self._clock.wait(self._stop, _RESOLVE_RETRY_SECONDS * jitter)
                 continue
             self._segments.note_written(key, len(batch))
             with self._lock:
@@ -276,8 +278,8 @@
             return
 
     def _refuse_queued(self):
-        # What came while the write was under way would wait behind it for as
-        # long as the outage; none of it has left this process.
+        # Records queued during the write would wait until the outage ends. They can be
+        # refused safely, because none of them was sent to the table.
         with self._lock:
             self._is_settling = True
             refused = [entry for entry in self._entries if not entry.must_persist]
@@ -285,14 +287,16 @@
         for entry in refused:
             entry.fail(JournalUnavailable(shard=self._owned.shard))
 
-    def _decide(self, key, batch):
+    def _resolve(self, key, batch):
         try:
             self._create(key, [])
         except TransactionConflict:
             row = self._table.read(key)
             if row is None:
                 raise
-            return row.value["records"] == [e.record.as_mapping() for e in batch]
+            return row.value["records"] == [
+                entry.record.as_mapping() for entry in batch
+            ]
         return False
 
     def _fence(self, batch):
