--- a/tests/journal/test_writer.py
+++ b/tests/journal/test_writer.py
@@ -1,4 +1,4 @@
-"""Segments, lost answers, snapshots: what the journal holds is what was said."""
+"""The journal agrees with reported results despite lost answers and compactions."""
 
 import random
 import threading
@@ -28,7 +28,7 @@
 
 
 class LateTable(MemoryTable):
-    """Gives no answer to a transaction and applies it when the test says."""
+    """Leave transactions unanswered and apply them when the test requests it."""
 
     def __init__(self, board):
         super().__init__(board)
@@ -41,13 +41,13 @@
             raise TableUnavailable()
         super().transact(conditions, writes)
 
-    def catch_up(self):
+    def apply_late(self):
         for conditions, writes in self.late:
             super().transact(conditions, writes)
 
 
 class Owner:
-    """A journal and the book it fills, stepped by the test."""
+    """Provide an owner's journal and the index of its work; the test drives both."""
 
     def __init__(self, table, objects, host):
         self.table, self.objects = table, objects
@@ -92,7 +92,7 @@
     }
 
 
-def test_records_that_come_together_share_a_write(store):
+def test_records_appended_together_share_a_write(store):
     owner = Owner(*store, "a")
     writes = store[0].writes
     entries = owner.write(*[accepted(f"r{number}") for number in range(200)])
@@ -101,10 +101,10 @@
 
 
 def test_replaced_owner_writes_nothing(store):
-    """Two placers take a shard one after the other; the first wakes and writes.
+    """A placer resumes after a pause and writes to a shard that another claimed.
 
-    Its segment is refused in the same transaction that would write it, and it
-    tells so.
+    The transaction that would write its segment must fail, and the placer must
+    report this.
     """
     first = Owner(*store, "a")
     second = Owner(*store, "b")
@@ -116,10 +116,11 @@
     assert set(states(Owner(*store, "c").work_index)) == {"r3"}
 
 
-def test_replaced_owner_folds_nothing(store):
-    """A frozen placer wakes in the middle of a compaction.
+def test_replaced_owner_compacts_nothing(store):
+    """A paused placer resumes in the middle of a compaction.
 
-    Its snapshot lacks what its successor wrote, and would stand before it.
+    Its snapshot lacks the records of its successor and would replace the
+    successor's snapshot.
     """
     first = Owner(*store, "a")
     first.write(accepted("r1"))
@@ -132,7 +133,7 @@
     assert states(Owner(*store, "c").work_index) == {"r1": ("ended", "done")}
 
 
-def test_records_are_refused_while_the_fate_of_others_is_open(store):
+def test_records_are_refused_while_the_result_of_a_write_is_unknown(store):
     table, _ = store
     owner = Owner(*store, "a")
     table.is_late = True
@@ -145,36 +146,36 @@
     owner.journal.append(Ended("r1", "done", 0.0), must_persist=True)
 
 
-def test_write_that_comes_after_a_compaction_takes_no_effect(store):
-    """The table is slow: a start gets no answer and is settled as not written.
+def test_delayed_write_after_a_compaction_takes_no_effect(store):
+    """A start record gets no answer from the slow table and is resolved as not written.
 
-    The empty segment that settled it is folded away, and the slow write comes
-    at last. It found its key free, and a request that its owner knew as not
-    started had a start in the journal: its cancel, told as "not run", was void
-    for the next owner.
+    A compaction then deletes the empty segment that resolved it, and the delayed
+    write arrives. If it succeeded under the free key, the journal would contain
+    a start of a request that its owner considers not started. The next owner would
+    ignore a cancellation that was reported as "not run".
     """
     table, _ = store
     owner = Owner(*store, "a")
     owner.write(accepted("r1"))
     table.is_late = True
     entry = owner.journal.append(Started("r1", 1, [], 0.0))
-    table.transact = wake_after(table, 1)
+    table.transact = unanswered_first(table, 1)
     owner.journal.write_segment()
     assert entry.settled.result(0) is False
     owner.compact()
     with pytest.raises(Exception, match="is not as the transaction expects"):
-        table.catch_up()
+        table.apply_late()
     assert states(Owner(*store, "b").work_index) == {"r1": ("waiting", None)}
 
 
-def wake_after(table, count):
-    """Return a transact that is late so many times."""
-    left = [count]
+def unanswered_first(table, count):
+    """Return a transact method that leaves the first transactions unanswered."""
+    remaining = [count]
     late, prompt = table.transact, MemoryTable.transact
 
     def transact(conditions, writes):
-        if left[0]:
-            left[0] -= 1
+        if remaining[0]:
+            remaining[0] -= 1
             return late(conditions, writes)
         return prompt(table, conditions, writes)
 
@@ -183,12 +184,12 @@
 
 @pytest.mark.parametrize("target", ["table", "objects"])
 @pytest.mark.parametrize("kind", ["lose_answers", "down"])
-@pytest.mark.parametrize("is_again", [False, True])
-def test_fault_in_a_compaction_loses_nothing(store, target, kind, is_again):
-    """The store fails in the middle of folding the journal.
+@pytest.mark.parametrize("is_retried", [False, True])
+def test_fault_in_a_compaction_loses_nothing(store, target, kind, is_retried):
+    """The store fails in the middle of a compaction.
 
-    Whatever took effect, the next owner reads the same requests, and the owner
-    goes on writing.
+    Whichever writes took effect, the next owner must read the same requests, and
+    the current owner must be able to continue writing.
     """
     table, objects = store
     owner = Owner(*store, "a")
@@ -201,7 +202,7 @@
     except Exception as error:
         assert error.code in ("table.unavailable", "objects.unavailable")
     table.board.clear()
-    if is_again:
+    if is_retried:
         owner.compact()
     owner.write(Ended("r1", "done", 1.0))
     expected = states(owner.work_index)
@@ -209,8 +210,8 @@
     assert states(Owner(*store, "b").work_index) == expected
 
 
-def test_journal_and_snapshots_agree_whatever_is_folded_when(store):
-    """Random records, compactions and owners: the book is always the same."""
+def test_journal_and_snapshots_agree_after_any_compactions(store):
+    """Each new owner reads the same state after random records and compactions."""
     generator = random.Random(11)
     owner = Owner(*store, "a")
     for number in range(400):
@@ -243,7 +244,7 @@
     assert len(segments) < 128
 
 
-def test_outcome_is_forgotten_after_its_time_and_no_sooner(store):
+def test_outcome_is_removed_after_its_retention_time_and_not_before(store):
     owner = Owner(*store, "a")
     owner.write(accepted("old"), accepted("new"), accepted("open"))
     owner.write(Ended("old", "done", 10.0), Ended("new", "done", 20.0))
@@ -252,40 +253,40 @@
     assert set(states(Owner(*store, "b").work_index)) == {"new", "open"}
 
 
-class SlowTable(MemoryTable):
-    """Hold a transaction until the test lets it through."""
+class BlockingTable(MemoryTable):
+    """Block transactions until the test releases them."""
 
     def __init__(self, board):
         super().__init__(board)
-        self.is_slow = False
-        self.is_entered, self.may_go = threading.Event(), threading.Event()
+        self.is_blocking = False
+        self.has_started, self.may_continue = threading.Event(), threading.Event()
 
     def transact(self, conditions, writes):
-        if self.is_slow:
-            self.is_entered.set()
-            assert self.may_go.wait(10)
+        if self.is_blocking:
+            self.has_started.set()
+            assert self.may_continue.wait(10)
         super().transact(conditions, writes)
 
 
 def test_flush_waits_for_the_segment_that_is_being_written():
-    """A placer is told to stop while a slow request ends, on a busy machine.
+    """A placer is stopped while the journal's task writes the outcome of a request.
 
-    The end was queued and its run counted as over; the journal's task was writing
-    it, so the queue was empty and the flush of the handover returned at once. The
-    shard was released under the write, the write failed as if by a newer owner, and
-    the caller heard "unknown" of a request that was done.
+    The queue is empty during that write. If the flush of the handover returned
+    immediately, the shard would be released during the write, the write would fail
+    as if the shard had a newer owner, and the caller would get "unknown" for a
+    request that is done.
     """
-    table = SlowTable(FaultBoard())
+    table = BlockingTable(FaultBoard())
     owner = Owner(table, MemoryObjects(table.board), "h1")
     owner.journal.append(accepted("r1"))
-    table.is_slow = True
+    table.is_blocking = True
     with ThreadPoolExecutor(2) as executor:
         written = executor.submit(owner.journal.write_segment)
-        assert table.is_entered.wait(10)
+        assert table.has_started.wait(10)
         flushed = executor.submit(owner.journal.flush)
         with pytest.raises(FutureTimeout):
             flushed.result(0.2)
-        table.may_go.set()
+        table.may_continue.set()
         written.result(10)
         flushed.result(10)
     assert "r1" in [item.request_id for item in owner.work_index.items]
