--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -9,7 +9,7 @@
 from papayapick.clients.exceptions import PlatformError, TableUnavailable
 from papayapick.clock import SystemClock
 from papayapick.limits import PauseDetector
-from papayapick.membership import LookGate, Peers
+from papayapick.membership import Peers, PollGate
 from papayapick.observability import (
     Metrics,
     Tracing,
@@ -162,11 +162,11 @@
             (self.heartbeat, self.watcher.hear, self.watcher.count_pauses),
         )
         self.peers.use_store_region(self._store_region)
-        self._head_gate = LookGate(self.clock, self.hears_store)
+        self._head_gate = PollGate(self.clock, self.hears_store)
 
     def hears_store(self):
         """Return whether the store is far and a live placer near it is known."""
-        return self.peers.hears(self._store_region())
+        return self.peers.has_live_peer_in(self._store_region())
 
     def _store_region(self):
         if not self.watcher.sequence:
--- a/papayapick/ownership/__init__.py
+++ b/papayapick/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Which placer serves a shard of hosts, and at which epoch."""
+"""Ownership of shards and pools, recorded in rows with fencing epochs."""
 
 from papayapick.ownership.assignments import candidates, preferred_owner, shard_of
 from papayapick.ownership.commands import claim, release
@@ -8,11 +8,11 @@
     ShardNotOwned,
     TakeoverLost,
 )
-from papayapick.ownership.leases import LeaseBook
+from papayapick.ownership.leases import LeaseTracker
 from papayapick.ownership.queries import ShardRow, read_shard, read_shards
 
 __all__ = [
-    "LeaseBook",
+    "LeaseTracker",
     "OwnershipError",
     "OwnershipUnconfirmed",
     "ShardNotOwned",
--- a/papayapick/routing/loads.py
+++ b/papayapick/routing/loads.py
@@ -80,7 +80,7 @@
         """
         now = self._clock.monotonic()
         with self._lock:
-            changes = self._changes_of(shard, load.service, peer.last_heard)
+            changes = self._changes_of(shard, load.service, peer.last_heartbeat_at)
             room = load.free_slots - load.waiting - changes.slots_taken
             return Candidate(tier, shard, peer, room, changes.refusing_until > now)
 
@@ -101,8 +101,7 @@
         now = self._clock.monotonic()
         with self._lock:
             changes = self._changes_of(
-                candidate.shard, service, candidate.peer.last_heard
-            )
+                candidate.shard, service, candidate.peer.last_heartbeat_at)
             changes.slots_taken += max(0, candidate.room)
             changes.refusing_until = now + _REFUSAL_SECONDS
 
--- a/papayapick/routing/slots.py
+++ b/papayapick/routing/slots.py
@@ -231,7 +231,7 @@
             caller=call.caller,
             avoid=list(call.avoid),
         )
-        heartbeat_at = peer.last_heard
+        heartbeat_at = peer.last_heartbeat_at
         try:
             granted = self._call(peer.client, request, wait_seconds, call.traceparent)
         except PeerRefused as refusal:
@@ -264,7 +264,7 @@
 
     def _candidates(self, policy):
         candidates = []
-        for shard, (peer, summary) in self._peers.serving().items():
+        for shard, (peer, summary) in self._peers.shard_owners().items():
             tier = self._tier(shard)
             if tier == ACROSS_LINK and not policy.across_link:
                 continue
--- a/tests/journal/test_writer.py
+++ b/tests/journal/test_writer.py
@@ -1,4 +1,4 @@
-"""Segments, lost answers, snapshots: what the journal holds is what was said."""
+"""The journal agrees with reported results despite lost answers and compactions."""
 
 import random
 import threading
@@ -28,7 +28,7 @@
 
 
 class LateTable(MemoryTable):
-    """Gives no answer to a transaction and applies it when the test says."""
+    """Leave transactions unanswered and apply them when the test requests it."""
 
     def __init__(self, board):
         super().__init__(board)
@@ -41,19 +41,19 @@
             raise TableUnavailable()
         super().transact(conditions, writes)
 
-    def catch_up(self):
+    def apply_late(self):
         for conditions, writes in self.late:
             super().transact(conditions, writes)
 
 
 class Owner:
-    """A journal and the book it fills, stepped by the test."""
+    """Provide an owner's journal and the index of its work; the test drives both."""
 
     def __init__(self, table, objects, host):
         self.table, self.objects = table, objects
         self.row = claim(table, read_shard(table, SHARD), host)
         state = read_journal(table, objects, SHARD)
-        self.book = state.book
+        self.work_index = state.work_index
         clock = ManualClock()
         self.journal = Journal(
             table,
@@ -61,9 +61,9 @@
             clock,
             0.0,
             TokenBucket(1e6, 1e6, clock),
-            on_written=self.book.apply,
+            on_written=self.work_index.apply,
         )
-        self.journal.go_on_from(state)
+        self.journal.resume_from(state)
 
     def write(self, *records):
         entries = [self.journal.append(record) for record in records]
@@ -71,7 +71,7 @@
         return entries
 
     def compact(self):
-        records = [one for item in self.book.items for one in item.records()]
+        records = [one for item in self.work_index.items for one in item.records()]
         self.journal.compact(self.objects, records)
 
 
@@ -85,14 +85,14 @@
     return Accepted(name, "request", "s", "c", "", "", "d", 1e9, False)
 
 
-def states(book):
+def states(work_index):
     return {
         item.request_id: (item.state, item.ended and item.ended.outcome)
-        for item in book.items
+        for item in work_index.items
     }
 
 
-def test_records_that_come_together_share_a_write(store):
+def test_records_appended_together_share_a_write(store):
     owner = Owner(*store, "a")
     writes = store[0].writes
     entries = owner.write(*[accepted(f"r{number}") for number in range(200)])
@@ -101,10 +101,10 @@
 
 
 def test_replaced_owner_writes_nothing(store):
-    """Two placers take a shard one after the other; the first wakes and writes.
+    """A placer resumes after a pause and writes to a shard that another claimed.
 
-    Its segment is refused in the same transaction that would write it, and it
-    tells so.
+    The transaction that would write its segment must fail, and the placer must
+    report this.
     """
     first = Owner(*store, "a")
     second = Owner(*store, "b")
@@ -113,13 +113,14 @@
     with pytest.raises(JournalFenced):
         first.journal.append(accepted("r2"))
     second.write(accepted("r3"))
-    assert set(states(Owner(*store, "c").book)) == {"r3"}
+    assert set(states(Owner(*store, "c").work_index)) == {"r3"}
 
 
-def test_replaced_owner_folds_nothing(store):
-    """A frozen placer wakes in the middle of a compaction.
+def test_replaced_owner_compacts_nothing(store):
+    """A paused placer resumes in the middle of a compaction.
 
-    Its snapshot lacks what its successor wrote, and would stand before it.
+    Its snapshot lacks the records of its successor and would replace the
+    successor's snapshot.
     """
     first = Owner(*store, "a")
     first.write(accepted("r1"))
@@ -129,10 +130,10 @@
     first.compact()
     with pytest.raises(JournalFenced):
         first.journal.append(accepted("r2"))
-    assert states(Owner(*store, "c").book) == {"r1": ("ended", "done")}
+    assert states(Owner(*store, "c").work_index) == {"r1": ("ended", "done")}
 
 
-def test_records_are_refused_while_the_fate_of_others_is_open(store):
+def test_records_are_refused_while_the_result_of_a_write_is_unknown(store):
     table, _ = store
     owner = Owner(*store, "a")
     table.is_late = True
@@ -142,39 +143,39 @@
     assert isinstance(entry.written.exception(0), JournalUnsettled)
     with pytest.raises(JournalUnavailable):
         owner.journal.append(accepted("r2"))
-    owner.journal.append(Ended("r1", "done", 0.0), must_last=True)
+    owner.journal.append(Ended("r1", "done", 0.0), must_persist=True)
 
 
-def test_write_that_comes_after_a_compaction_takes_no_effect(store):
-    """The table is slow: a start gets no answer and is settled as not written.
+def test_delayed_write_after_a_compaction_takes_no_effect(store):
+    """A start record gets no answer from the slow table and is resolved as not written.
 
-    The empty segment that settled it is folded away, and the slow write comes
-    at last. It found its key free, and a request that its owner knew as not
-    started had a start in the journal: its cancel, told as "not run", was void
-    for the next owner.
+    A compaction then deletes the empty segment that resolved it, and the delayed
+    write arrives. If it succeeded under the free key, the journal would contain
+    a start of a request that its owner considers not started. The next owner would
+    ignore a cancellation that was reported as "not run".
     """
     table, _ = store
     owner = Owner(*store, "a")
     owner.write(accepted("r1"))
     table.is_late = True
     entry = owner.journal.append(Started("r1", 1, [], 0.0))
-    table.transact = wake_after(table, 1)
+    table.transact = unanswered_first(table, 1)
     owner.journal.write_segment()
     assert entry.settled.result(0) is False
     owner.compact()
     with pytest.raises(Exception, match="is not as the transaction expects"):
-        table.catch_up()
-    assert states(Owner(*store, "b").book) == {"r1": ("waiting", None)}
+        table.apply_late()
+    assert states(Owner(*store, "b").work_index) == {"r1": ("waiting", None)}
 
 
-def wake_after(table, count):
-    """Return a transact that is late so many times."""
-    left = [count]
+def unanswered_first(table, count):
+    """Return a transact method that leaves the first transactions unanswered."""
+    remaining = [count]
     late, prompt = table.transact, MemoryTable.transact
 
     def transact(conditions, writes):
-        if left[0]:
-            left[0] -= 1
+        if remaining[0]:
+            remaining[0] -= 1
             return late(conditions, writes)
         return prompt(table, conditions, writes)
 
@@ -183,12 +184,12 @@
 
 @pytest.mark.parametrize("target", ["table", "objects"])
 @pytest.mark.parametrize("kind", ["lose_answers", "down"])
-@pytest.mark.parametrize("is_again", [False, True])
-def test_fault_in_a_compaction_loses_nothing(store, target, kind, is_again):
-    """The store fails in the middle of folding the journal.
+@pytest.mark.parametrize("is_retried", [False, True])
+def test_fault_in_a_compaction_loses_nothing(store, target, kind, is_retried):
+    """The store fails in the middle of a compaction.
 
-    Whatever took effect, the next owner reads the same requests, and the owner
-    goes on writing.
+    Whichever writes took effect, the next owner must read the same requests, and
+    the current owner must be able to continue writing.
     """
     table, objects = store
     owner = Owner(*store, "a")
@@ -201,16 +202,16 @@
     except Exception as error:
         assert error.code in ("table.unavailable", "objects.unavailable")
     table.board.clear()
-    if is_again:
+    if is_retried:
         owner.compact()
     owner.write(Ended("r1", "done", 1.0))
-    expected = states(owner.book)
+    expected = states(owner.work_index)
     assert expected["r1"] == ("ended", "done")
-    assert states(Owner(*store, "b").book) == expected
+    assert states(Owner(*store, "b").work_index) == expected
 
 
-def test_journal_and_snapshots_agree_whatever_is_folded_when(store):
-    """Random records, compactions and owners: the book is always the same."""
+def test_journal_and_snapshots_agree_after_any_compactions(store):
+    """Each new owner reads the same state after random records and compactions."""
     generator = random.Random(11)
     owner = Owner(*store, "a")
     for number in range(400):
@@ -227,9 +228,9 @@
         if generator.random() < 0.1:
             owner.compact()
         if generator.random() < 0.05:
-            expected = states(owner.book)
+            expected = states(owner.work_index)
             owner = Owner(*store, f"h{number}")
-            assert states(owner.book) == expected
+            assert states(owner.work_index) == expected
 
 
 def test_compaction_keeps_the_journal_short(store):
@@ -237,55 +238,55 @@
     owner = Owner(*store, "a")
     for number in range(1200):
         owner.write(accepted(f"r{number % 40}"), Ended(f"r{number % 40}", "done", 0.0))
-        if owner.journal.is_compaction_due(len(owner.book)):
+        if owner.journal.is_compaction_due(len(owner.work_index)):
             owner.compact()
     segments = [key for key in table.rows if key.startswith("journal/")]
     assert len(segments) < 128
 
 
-def test_outcome_is_forgotten_after_its_time_and_no_sooner(store):
+def test_outcome_is_removed_after_its_retention_time_and_not_before(store):
     owner = Owner(*store, "a")
     owner.write(accepted("old"), accepted("new"), accepted("open"))
     owner.write(Ended("old", "done", 10.0), Ended("new", "done", 20.0))
-    owner.book.forget_before(15.0)
+    owner.work_index.remove_ended_before(15.0)
     owner.compact()
-    assert set(states(Owner(*store, "b").book)) == {"new", "open"}
+    assert set(states(Owner(*store, "b").work_index)) == {"new", "open"}
 
 
-class SlowTable(MemoryTable):
-    """Hold a transaction until the test lets it through."""
+class BlockingTable(MemoryTable):
+    """Block transactions until the test releases them."""
 
     def __init__(self, board):
         super().__init__(board)
-        self.is_slow = False
-        self.is_entered, self.may_go = threading.Event(), threading.Event()
+        self.is_blocking = False
+        self.has_started, self.may_continue = threading.Event(), threading.Event()
 
     def transact(self, conditions, writes):
-        if self.is_slow:
-            self.is_entered.set()
-            assert self.may_go.wait(10)
+        if self.is_blocking:
+            self.has_started.set()
+            assert self.may_continue.wait(10)
         super().transact(conditions, writes)
 
 
 def test_flush_waits_for_the_segment_that_is_being_written():
-    """A placer is told to stop while a slow request ends, on a busy machine.
+    """A placer is stopped while the journal's task writes the outcome of a request.
 
-    The end was queued and its run counted as over; the journal's task was writing
-    it, so the queue was empty and the flush of the handover returned at once. The
-    shard was released under the write, the write failed as if by a newer owner, and
-    the caller heard "unknown" of a request that was done.
+    The queue is empty during that write. If the flush of the handover returned
+    immediately, the shard would be released during the write, the write would fail
+    as if the shard had a newer owner, and the caller would get "unknown" for a
+    request that is done.
     """
-    table = SlowTable(FaultBoard())
+    table = BlockingTable(FaultBoard())
     owner = Owner(table, MemoryObjects(table.board), "h1")
     owner.journal.append(accepted("r1"))
-    table.is_slow = True
+    table.is_blocking = True
     with ThreadPoolExecutor(2) as executor:
         written = executor.submit(owner.journal.write_segment)
-        assert table.is_entered.wait(10)
+        assert table.has_started.wait(10)
         flushed = executor.submit(owner.journal.flush)
         with pytest.raises(FutureTimeout):
             flushed.result(0.2)
-        table.may_go.set()
+        table.may_continue.set()
         written.result(10)
         flushed.result(10)
-    assert "r1" in [item.request_id for item in owner.book.items]
+    assert "r1" in [item.request_id for item in owner.work_index.items]
