--- a/papayapick/platform/advice.py
+++ b/papayapick/platform/advice.py
@@ -3,7 +3,7 @@
 import json
 
 from papayapick.clients.exceptions import AnswerInvalid, AnswerMissing, NotSent
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 
 __all__ = ["AdviceClient"]
 
@@ -46,7 +46,7 @@
 
         Raises
         ------
-        CheckFailed
+        CallFailed
         """
         body = json.dumps({"step": step_name, "workers": workers}).encode()
         seconds = expected_seconds + _CALL_SLACK_SECONDS
@@ -62,5 +62,5 @@
             KeyError,
             TypeError,
         ) as error:
-            raise CheckFailed(address="advice", status=0) from error
-        raise CheckFailed(address="advice", status=answer.status)
+            raise CallFailed(address="advice", status=0) from error
+        raise CallFailed(address="advice", status=answer.status)
--- a/papayapick/platform/exceptions.py
+++ b/papayapick/platform/exceptions.py
@@ -1,39 +1,42 @@
-"""Errors of the platform's interfaces."""
+"""Errors of the clients and decoders for the platform's HTTP interfaces."""
 
 from papayapick.clients.exceptions import PlatformError
 from papayapick.exceptions import PapayapickError
 
 __all__ = [
     "BodyInvalid",
-    "CheckFailed",
+    "CallFailed",
     "PlatformSettingsInvalid",
     "WorkerSilent",
 ]
 
 
 class BodyInvalid(PapayapickError):
-    """Report a body that is not what its sender should have sent."""
+    """Report a body that does not match the format of its kind."""
 
     code = "platform.body-invalid"
     template = "body refused: {reason}"
 
 
 class PlatformSettingsInvalid(PapayapickError):
-    """Report a settings file that can't be read or lacks a field."""
+    """Report a settings file that is unreadable, incomplete or of a wrong type."""
 
     code = "platform.settings-invalid"
     template = "settings file {path}: {reason}"
 
 
 class WorkerSilent(PlatformError):
-    """Report a worker that gave no answer; the call may take effect, also later."""
+    """Report a worker without a valid answer; the call may still take effect."""
 
     code = "worker.silent"
     template = "worker {worker} did not answer"
 
 
-class CheckFailed(PlatformError):
-    """Report a service that refused a call without doing anything."""
+class CallFailed(PlatformError):
+    """Report a call that a service refused or a query without a valid answer.
+
+    The call had no effect. ``status`` is the HTTP status, or 0 without an answer.
+    """
 
     code = "platform.refused"
-    template = "{address} refused the call with {status}"
+    template = "call to {address} failed with status {status}"
--- a/papayapick/platform/machines.py
+++ b/papayapick/platform/machines.py
@@ -5,7 +5,7 @@
 import urllib.parse
 
 from papayapick.clients.exceptions import AnswerInvalid, AnswerMissing, NotSent
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 
 __all__ = ["Machine", "MachineList", "UpkeepOutcome"]
 
@@ -92,7 +92,7 @@
 
         Raises
         ------
-        CheckFailed
+        CallFailed
             Also where a page is missing: a part of the list tells nothing of the
             machines that are not in it.
         """
@@ -103,10 +103,10 @@
                 found += [_machine(one) for one in page["machines"]]
                 token = page.get("next_token")
             except (KeyError, TypeError, AttributeError) as error:
-                raise CheckFailed(address=self._address, status=200) from error
+                raise CallFailed(address=self._address, status=200) from error
             if not token:
                 return found
-        raise CheckFailed(address=self._address, status=200)
+        raise CallFailed(address=self._address, status=200)
 
     def begin_upkeep(self, machine, wave, holder, token):
         """Order the upkeep of a machine; all that runs there ends at once.
@@ -152,8 +152,8 @@
             if answer.status == 200:
                 return json.loads(answer.body)
         except (NotSent, AnswerMissing, AnswerInvalid, ValueError) as error:
-            raise CheckFailed(address=self._address, status=0) from error
-        raise CheckFailed(address=self._address, status=answer.status)
+            raise CallFailed(address=self._address, status=0) from error
+        raise CallFailed(address=self._address, status=answer.status)
 
 
 def _upkeep_outcome(answer):
--- a/papayapick/platform/workers.py
+++ b/papayapick/platform/workers.py
@@ -6,7 +6,7 @@
 from papayapick.clients.exceptions import AnswerInvalid, AnswerMissing, NotSent
 from papayapick.jobs.documents import TaskKey
 from papayapick.ledger.amounts import Amounts
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.reports import (
     EndReport,
     Registration,
@@ -141,7 +141,7 @@
 
         Raises
         ------
-        WorkerSilent, CheckFailed
+        WorkerSilent, CallFailed
         """
         body = {"task": _task(key), "attempt": attempt, "fencing_token": epoch}
         self._checked("/run-stop", body)
@@ -151,7 +151,7 @@
 
         Raises
         ------
-        WorkerSilent, CheckFailed
+        WorkerSilent, CallFailed
         """
         body = {
             "task": _task(key),
@@ -180,7 +180,7 @@
 
         Raises
         ------
-        WorkerSilent, CheckFailed
+        WorkerSilent, CallFailed
         """
         body = {"fencing_token": epoch, "ack_cursor": acknowledged}
         if lease_end is not None:
@@ -202,7 +202,7 @@
         except (NotSent, AnswerMissing, AnswerInvalid) as error:
             raise WorkerSilent(worker=self._worker) from error
         if answer.status != 200:
-            raise CheckFailed(
+            raise CallFailed(
                 address=self._worker, status=answer.status, body=answer.body[:80]
             )
         return answer
--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -2,7 +2,7 @@
 
 import threading
 
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.events import (
     RENEWAL_REFUSED,
     WORKER_BACK,
@@ -171,7 +171,7 @@
             except WorkerSilent:
                 RENEWALS.labels("no-answer").inc()
                 self._note_no_answer()
-            except CheckFailed as error:
+            except CallFailed as error:
                 RENEWALS.labels("refused").inc()
                 self._note_refusal(error)
 
@@ -180,7 +180,7 @@
         requested_at = self._clock.monotonic()
         try:
             report = self.client.renew(self._epoch, _ACKNOWLEDGE_NONE)
-        except (WorkerSilent, CheckFailed) as error:
+        except (WorkerSilent, CallFailed) as error:
             WORKER_UNSEEN.write(worker=self.worker, error=str(error))
             return
         if not self.is_stopped and report.born == self.born:
--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -5,7 +5,7 @@
 shows at once that a worker crashed or was removed; a partitioned worker stays on it.
 """
 
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 from papayapick.pool.events import MACHINES_DISTRUSTED, MACHINES_UNREAD
 
 __all__ = ["LivenessCheck"]
@@ -51,7 +51,7 @@
         silent = self._silent_links()
         try:
             machines = self._machines.fetch()
-        except CheckFailed as error:
+        except CallFailed as error:
             MACHINES_UNREAD.write(silent=len(silent), error=str(error))
             return
         alive = {machine.worker for machine in machines if machine.is_up}
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -3,7 +3,7 @@
 import functools
 
 from papayapick.jobs.runs import RunPhase
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.events import (
     ORDER_FAILED,
     ORDERS_HELD_UP,
@@ -257,7 +257,7 @@
         except WorkerSilent:
             # Ordered again by the next tick.
             return
-        except CheckFailed as error:
+        except CallFailed as error:
             STOP_REFUSED.write(worker=link.worker, status=error.details["status"])
             return
         self.note_stop_confirmed(run)
@@ -275,7 +275,7 @@
             run.pace, run.has_lost_pace = None, True
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
-        except CheckFailed as error:
+        except CallFailed as error:
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
         PACE_SET.write(**run_fields(run), percent=percent, percent_before=run.pace)
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -8,7 +8,7 @@
     drain_limit_seconds,
     runs_to_stop,
 )
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 from papayapick.platform.machines import UpkeepOutcome
 from papayapick.platform.waves import (
     STATUS_TABLE,
@@ -115,7 +115,7 @@
             machines = {machine.name: machine for machine in self._machines.fetch()}
             for key in list(self._open):
                 self._advance(key, machines)
-        except (CheckFailed, TableUnavailable, ConditionFailed) as error:
+        except (CallFailed, TableUnavailable, ConditionFailed) as error:
             # The next step starts again from the stored records, as an order may be
             # sent only once its record is durable. A replacement by a newer owner is
             # detected by ``owner.standing``.
--- a/tests/contracts/test_cluster.py
+++ b/tests/contracts/test_cluster.py
@@ -7,7 +7,7 @@
 from papayapick.clients.rows import Expectation, RowWrite
 from papayapick.jobs import Run, RunPhase, TaskKey
 from papayapick.ledger import Amounts
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.platform.machines import MachineList, UpkeepOutcome
 from papayapick.platform.store import Store
 from papayapick.platform.workers import WorkerClient, decode_registration
@@ -157,7 +157,7 @@
     end = _lease(client)
     client.renew(5, 0)
     assert client.start(_run(), "payload", end, 4) == StartOutcome.FENCED
-    with pytest.raises(CheckFailed) as caught:
+    with pytest.raises(CallFailed) as caught:
         client.renew(4, 0)
     assert caught.value.details["status"] == 409
 
@@ -301,7 +301,7 @@
     overloaded; what the other pages lack tells nothing.
     """
     monkeypatch.setattr(cluster.machines, "list", lambda query: answer)
-    with pytest.raises(CheckFailed):
+    with pytest.raises(CallFailed):
         MachineList(cluster.address, pool).fetch()
 
 
--- a/tests/pool/fault_simulation.py
+++ b/tests/pool/fault_simulation.py
@@ -12,7 +12,7 @@
 from papayapick.jobs import JobDocument, Queue, Step, TaskKey
 from papayapick.ledger import Amounts
 from papayapick.ownership.pools import PoolRow
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.journal import JOBS_TABLE
 from papayapick.pool.owner import PoolOwner
 from papayapick.pool.reports import EndReport, RunReport, StartOutcome, WorkerReport
@@ -210,7 +210,7 @@
 
     def _check(self, epoch):
         if epoch < self._highest_epoch:
-            raise CheckFailed(address=self.name, status=FENCED, body=b"")
+            raise CallFailed(address=self.name, status=FENCED, body=b"")
         self._highest_epoch = epoch
 
     def _extend_lease(self, lease_end):
@@ -281,7 +281,7 @@
         if self._worker.is_reached:
             try:
                 execute()
-            except CheckFailed:
+            except CallFailed:
                 return
 
 
@@ -474,7 +474,7 @@
         except WorkerSilent:
             link._note_no_answer()
             return self.rng.choice([0.4, 1.0])
-        except CheckFailed as error:
+        except CallFailed as error:
             link._note_refusal(error)
             return 0.2
         return self.rng.choice([0.05, 0.3, 0.6])
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -5,7 +5,7 @@
 from papayapick.clock import ManualClock
 from papayapick.jobs import JobStatus, TaskKey
 from papayapick.ledger import Amounts
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.links import LEASE_SECONDS, WorkerLink
 from papayapick.pool.reports import (
     EndReport,
@@ -187,7 +187,7 @@
     ("status", "event"), [(FENCED, "fenced"), (OTHER_INSTANCE, "rebirth")]
 )
 def test_refused_renewal(link, status, event):
-    link.client.answers = [CheckFailed(address="w1", status=status)]
+    link.client.answers = [CallFailed(address="w1", status=status)]
     _run(link, 1)
     assert event in link._listener.events
 
--- a/tests/pool/test_liveness.py
+++ b/tests/pool/test_liveness.py
@@ -3,7 +3,7 @@
 import pytest
 
 from papayapick.jobs import RunPhase
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 from papayapick.platform.machines import Machine
 from papayapick.pool.liveness import LivenessCheck
 from tests.pool.owners import (
@@ -27,7 +27,7 @@
 
     def fetch(self):
         if self.is_unavailable:
-            raise CheckFailed(address="machines", status=0)
+            raise CallFailed(address="machines", status=0)
         return [
             Machine(f"m{number}", "pool", bool(worker), worker)
             for number, worker in enumerate(self.workers)
--- a/tests/pool/test_pace.py
+++ b/tests/pool/test_pace.py
@@ -4,7 +4,7 @@
 
 from papayapick.jobs import JobDocument, Step, TaskKey
 from papayapick.ledger import Amounts
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.reports import EndReport, RunReport, WorkerReport
 from tests.pool.owners import ID, host_with_two_workers, owner_of, report, store_job
 
@@ -30,7 +30,7 @@
         assert (key, attempt) == (FILLER, 1)
         self.ordered.append(percent)
         if self.refuses:
-            raise CheckFailed(address="w1", status=503, body="")
+            raise CallFailed(address="w1", status=503, body="")
         self.actual_pace = percent
         if self.loses_answers:
             raise WorkerSilent(worker="w1")
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -9,7 +9,7 @@
 from papayapick.jobs import JobDocument, Step
 from papayapick.ledger import Amounts
 from papayapick.placement.waves import Wave, WaveRecord, choose_machines
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 from papayapick.platform.machines import Machine, UpkeepOutcome
 from papayapick.pool.upkeep import WAVES_TABLE, UpkeepCoordinator
 from tests.pool.standins import QUEUE, PoolSimulation, Worker, _registration
@@ -79,7 +79,7 @@
 
     def fetch(self):
         if self.is_unavailable:
-            raise CheckFailed(address="machines", status=0)
+            raise CallFailed(address="machines", status=0)
         return [
             Machine(
                 name,
