--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -41,7 +41,7 @@
 from papayapick.entry.store_latency import StoreLatency
 from papayapick.entry.writers import GroupWriter
 from papayapick.ownership.pools import CELL_TABLE, pool_row, read_pool
-from papayapick.platform.machines import MachineList
+from papayapick.platform.machines import MachineClient
 from papayapick.platform.store import Store
 from papayapick.pool.metrics import OWNED_POOLS, WAITING_JOBS
 from papayapick.wire import CellKeys, PeerServer
@@ -87,7 +87,7 @@
             self._observe_store,
         )
         self.worker_pool = HttpPool(_WORKER_TIMEOUT_SECONDS)
-        self.machines = MachineList(settings.machines_address, self.worker_pool)
+        self.machines = MachineClient(settings.machines_address, self.worker_pool)
         self.job_states = JobStateCache(self.clock)
         self.configuration = ConfigurationWatcher(self)
         self.relayed_store = RelayedStore(self)
--- a/papayapick/platform/machines.py
+++ b/papayapick/platform/machines.py
@@ -7,7 +7,7 @@
 from papayapick.clients.exceptions import AnswerInvalid, AnswerMissing, NotSent
 from papayapick.platform.exceptions import CallFailed
 
-__all__ = ["Machine", "MachineList", "UpkeepOutcome"]
+__all__ = ["Machine", "MachineClient", "UpkeepOutcome"]
 
 # A list of 200 machines is answered in 10 ms; past this the next look asks again.
 _CALL_SECONDS = 0.8
@@ -62,8 +62,8 @@
         self.worker = worker
 
 
-class MachineList:
-    """Call the service that knows the machines.
+class MachineClient:
+    """Call the service that lists the machines and begins their upkeep.
 
     Parameters
     ----------
@@ -79,8 +79,8 @@
         self._pool = pool
 
     @property
-    def is_there(self):
-        """Return whether the settings name such a service."""
+    def is_configured(self):
+        """Return whether the settings name a machine service."""
         return bool(self._address)
 
     def fetch(self):
--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -28,7 +28,7 @@
     Parameters
     ----------
     owner : PoolOwner
-    machines : MachineList
+    machines : MachineClient
     """
 
     __slots__ = ("_is_distrusted", "_machines", "_owner")
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -194,7 +194,7 @@
                 ("journal", self.journal.run),
             ):
                 self.submit(name, step)
-            if self.host.machines.is_there:
+            if self.host.machines.is_configured:
                 self.submit("lives", LivenessCheck(self, self.host.machines).run)
                 self.submit("upkeep", UpkeepCoordinator(self, self.host.machines).run)
         TAKEOVERS.inc()
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -71,7 +71,7 @@
     Parameters
     ----------
     owner : PoolOwner
-    machines : MachineList
+    machines : MachineClient
     """
 
     __slots__ = ("_finished", "_machines", "_must_reload", "_open", "_owner")
--- a/tests/contracts/test_cluster.py
+++ b/tests/contracts/test_cluster.py
@@ -8,7 +8,7 @@
 from papayapick.jobs import Run, RunPhase, TaskKey
 from papayapick.ledger import Amounts
 from papayapick.platform.exceptions import CallFailed, WorkerSilent
-from papayapick.platform.machines import MachineList, UpkeepOutcome
+from papayapick.platform.machines import MachineClient, UpkeepOutcome
 from papayapick.platform.store import Store
 from papayapick.platform.workers import WorkerClient, decode_registration
 from papayapick.pool.reports import StartOutcome
@@ -270,7 +270,7 @@
     names = [f"w{number}" for number in range(7)]
     for name in names:
         cluster.add_worker(name)
-    found = MachineList(cluster.address, pool).fetch()
+    found = MachineClient(cluster.address, pool).fetch()
     assert [(one.name, one.worker, one.is_up) for one in found] == [
         (f"m-{name}", name, True) for name in names
     ]
@@ -279,7 +279,7 @@
 def test_machine_that_is_down_names_no_worker(cluster, pool):
     cluster.add_worker("w1")
     cluster.crash("w1")
-    (found,) = MachineList(cluster.address, pool).fetch()
+    (found,) = MachineClient(cluster.address, pool).fetch()
     assert (found.worker, found.is_up, found.pool) == ("", False, "pool-1")
 
 
@@ -302,13 +302,13 @@
     """
     monkeypatch.setattr(cluster.machines, "list", lambda query: answer)
     with pytest.raises(CallFailed):
-        MachineList(cluster.address, pool).fetch()
+        MachineClient(cluster.address, pool).fetch()
 
 
 def test_upkeep_begins_once_and_is_told_again(cluster, pool):
     cluster.add_worker("w1")
     cluster.ask_for_wave(7, ["w1"])
-    machines = MachineList(cluster.address, pool)
+    machines = MachineClient(cluster.address, pool)
     assert machines.begin_upkeep("m-w1", 7, "h1", 3) == UpkeepOutcome.BEGUN
     (found,) = machines.fetch()
     assert (found.is_up, found.is_in_upkeep, found.worker) == (False, True, "")
@@ -332,7 +332,7 @@
     cluster.add_worker("w2")
     cluster.crash("w2")
     cluster.ask_for_wave(7, ["w1", "w2"])
-    machines = MachineList(cluster.address, pool)
+    machines = MachineClient(cluster.address, pool)
     # A newer owner has spoken of this machine.
     machines.begin_upkeep("m-w1", 99, "h2", 3)
     assert machines.begin_upkeep(machine, wave, "h1", epoch) == outcome
@@ -349,5 +349,5 @@
 )
 def test_upkeep_without_a_clear_answer(cluster, pool, monkeypatch, answer, outcome):
     monkeypatch.setattr(cluster.machines, "begin_upkeep", lambda body, environ: answer)
-    machines = MachineList(cluster.address, pool)
+    machines = MachineClient(cluster.address, pool)
     assert machines.begin_upkeep("m-w1", 7, "h1", 3) == outcome
