--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -206,7 +206,7 @@
             identity,
             handler.answer,
             self.executor,
-            on_end=handler.note_disconnect,
+            on_disconnect=handler.note_disconnect,
         )
         self._peer_server.start()
         register(self)
--- a/papayapick/wire/server.py
+++ b/papayapick/wire/server.py
@@ -36,7 +36,7 @@
     executor : concurrent.futures.Executor
     meter : callable, optional
     clock : Clock, optional
-    on_end : callable, optional
+    on_disconnect : callable, optional
         Called with the ``Hello`` of a peer whose connection has ended: a process
         that was killed is noticed by that before its heartbeats are missed.
     """
@@ -52,7 +52,7 @@
         "_listener",
         "_lock",
         "_meter",
-        "_on_end",
+        "_on_disconnect",
         "_stopping",
     )
 
@@ -65,9 +65,9 @@
         executor,
         meter=None,
         clock=None,
-        on_end=None,
+        on_disconnect=None,
     ):
-        self._on_end = on_end or (lambda peer: None)
+        self._on_disconnect = on_disconnect or (lambda peer: None)
         self._listener = socket.create_server(address, backlog=_BACKLOG)
         self._cell_key = cell_key
         self._identity = identity
@@ -132,7 +132,7 @@
             with self._lock:
                 self._connections.discard(connection)
             if connection.peer is not None and not self._stopping:
-                self._on_end(connection.peer)
+                self._on_disconnect(connection.peer)
 
     def _greet(self, connection):
         try:
