--- a/papayapick/clients/instances.py
+++ b/papayapick/clients/instances.py
@@ -38,7 +38,9 @@
     def __init__(self, pool):
         self._pool = pool
 
-    def call(self, url, request_id, epoch, payload, seconds, traceparent="", once=True):
+    def call(
+        self, url, request_id, epoch, payload, seconds, traceparent="", fresh=True
+    ):
         """Send one request and return its whole answer.
 
         Parameters
@@ -51,7 +53,7 @@
         payload : bytes
         seconds : float
         traceparent : str
-        once : bool
+        fresh : bool
             Use a new connection, so that a refusal can be told from a run.
 
         Returns
@@ -79,7 +81,7 @@
             payload,
             headers,
             seconds,
-            once,
+            fresh,
             check=lambda found: _check_whole(url, request_id, found),
         )
         if answer.status == _STALE_EPOCH_STATUS and answer.headers.get(EPOCH):
@@ -103,14 +105,14 @@
             return _ABSENT
         return self._decoded(url, answer)["state"]
 
-    def running(self, url, epoch, must_stay=False):
+    def fence(self, url, epoch, reject_leaving=False):
         """Fence an instance and return the ids of the requests it runs.
 
         Parameters
         ----------
         url : str
         epoch : int
-        must_stay : bool
+        reject_leaving : bool
             Raise HostLeaving for an instance that says it leaves: the live
             list lags, and would have it opened again after its own word.
 
@@ -122,7 +124,7 @@
         answer = self._pool.request("POST", f"{url}/fence", body)
         if answer.status == _STALE_EPOCH_STATUS:
             raise StaleEpoch(target=url, epoch=epoch)
-        if must_stay and is_leaving(answer):
+        if reject_leaving and is_leaving(answer):
             raise HostLeaving(url=url)
         return self._decoded(url, answer)["running"]
 
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -189,7 +189,7 @@
             admitted.payload,
             seconds,
             self._process.tracing.traceparent(),
-            once=False,
+            fresh=False,
         )
         if is_leaving(answer):
             return LEAVING, answer
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -81,7 +81,7 @@
         for instance in shard.slot_allocator.in_doubt_instances():
             entry = shard.entries[instance]
             try:
-                running = self._instances.running(entry.url, shard.epoch)
+                running = self._instances.fence(entry.url, shard.epoch)
             except PlatformError:
                 continue
             shard.slot_allocator.reconcile(instance, running)
@@ -137,7 +137,7 @@
         shard.hosts.open(entry.name)
 
     def _open_instance(self, shard, entry):
-        running = self._instances.running(entry.url, shard.epoch, must_stay=True)
+        running = self._instances.fence(entry.url, shard.epoch, reject_leaving=True)
         shard.slot_allocator.restore(entry.name, running)
         shard.slot_allocator.with_ledger(lambda ledger: ledger.open(entry.name))
         shard.slot_allocator.serve_waiting()
--- a/tests/gateway/test_urgent.py
+++ b/tests/gateway/test_urgent.py
@@ -53,7 +53,7 @@
         self.script = []
         self.given = []
 
-    def call(self, url, request_id, epoch, payload, seconds, traceparent, once):
+    def call(self, url, request_id, epoch, payload, seconds, traceparent, fresh):
         self.given.append(seconds)
         step = self.script.pop(0) if self.script else "good"
         if step == "silent":
--- a/tests/gateway/test_whole_answers.py
+++ b/tests/gateway/test_whole_answers.py
@@ -35,7 +35,7 @@
 
 
 def call(client, server, request_id, seconds=5.0):
-    answer = client.call(server.url, request_id, 1, b"{}", seconds, once=False)
+    answer = client.call(server.url, request_id, 1, b"{}", seconds, fresh=False)
     return answer.body
 
 
@@ -211,7 +211,7 @@
 
 def test_leaving_is_read_from_any_answer(client, server):
     server.answer(HEAD + b"Leaving: 1\r\nContent-Length: 0\r\n\r\n")
-    answer = client.call(server.url, "first", 1, b"{}", 5.0, once=False)
+    answer = client.call(server.url, "first", 1, b"{}", 5.0, fresh=False)
     assert is_leaving(answer)
 
 
@@ -225,5 +225,5 @@
     for _ in range(2):
         server.answer(b"HTTP/1.1 200 OK\r\n" + body)
     with pytest.raises(HostLeaving):
-        client.running(server.url, 1, must_stay=True)
-    assert client.running(server.url, 1) == ["r"]
+        client.fence(server.url, 1, reject_leaving=True)
+    assert client.fence(server.url, 1) == ["r"]
--- a/tests/placer/test_slots_leaving.py
+++ b/tests/placer/test_slots_leaving.py
@@ -31,10 +31,10 @@
         self.leaving = set()
         self.down = set()
 
-    def running(self, url, epoch, must_stay=False):
+    def fence(self, url, epoch, reject_leaving=False):
         if url in self.down:
             raise NotSent(url=url)
-        if must_stay and url in self.leaving:
+        if reject_leaving and url in self.leaving:
             raise HostLeaving(url=url)
         return []
 
