--- a/papayapick/bundle/commands.py
+++ b/papayapick/bundle/commands.py
@@ -16,7 +16,7 @@
 )
 from papayapick.bundle.topology import check_topology_kept
 from papayapick.clients import Condition, TransactionConflict, Write
-from papayapick.clients.commands import transact_settled
+from papayapick.clients.transactions import transact_with_retry
 
 __all__ = ["accept", "acknowledge", "propose"]
 
@@ -89,7 +89,7 @@
         Write(accepted_key(proposal.sequence - _ACCEPTED_KEPT), None),
     ]
     try:
-        transact_settled(table, [Condition(HEAD_KEY, head.version)], writes)
+        transact_with_retry(table, [Condition(HEAD_KEY, head.version)], writes)
     except TransactionConflict:
         return _settle(table, read_head(table), proposal)
     return accepted
@@ -128,7 +128,7 @@
 
 def _change_head(table, head, value):
     try:
-        transact_settled(
+        transact_with_retry(
             table, [Condition(HEAD_KEY, head.version)], [Write(HEAD_KEY, value)]
         )
     except TransactionConflict as error:
--- a/papayapick/clients/commands.py
+++ b/papayapick/clients/transactions.py
@@ -1,22 +1,23 @@
-"""Settle transactions whose answers were lost."""
+"""Retry a transaction whose answer was lost without applying it twice."""
 
 import uuid
 
 from papayapick.clients.exceptions import TableUnavailable, TransactionConflict
 from papayapick.clients.types import Condition, Write
 
-__all__ = ["transact_settled"]
+__all__ = ["transact_with_retry"]
 
 _MARKER = "written_by"
 
 
-def transact_settled(table, conditions, writes):
-    """Apply a transaction and settle a lost answer by reading back.
+def transact_with_retry(table, conditions, writes):
+    """Apply a transaction; retry it once if its answer is lost.
 
-    The first write carries a marker that no other writer uses. Where the
-    answer is lost, or a conflict is met on a second try, the row tells whether
-    the first try took effect: without this, a writer whose answer was lost
-    would see its own write as somebody else's and report a conflict.
+    The first write carries a marker that no other writer uses. After a lost
+    answer, or a conflict on the second attempt, the row is read back and its marker
+    tells whether the first attempt took effect. Without this check, a writer whose
+    answer was lost would take its own write for another writer's and report a
+    conflict.
 
     Parameters
     ----------
@@ -31,7 +32,7 @@
         Nothing was written, or the answer was lost and another writer has
         changed the row since.
     TableUnavailable
-        The effect is still unknown.
+        Whether the transaction took effect is still unknown.
     """
     marker = uuid.uuid4().hex
     first = writes[0]
@@ -40,14 +41,14 @@
         table.transact(conditions, [marked, *writes[1:]])
     except TableUnavailable:
         if not _was_applied(table, first.key, marker):
-            _apply_again(table, conditions, [marked, *writes[1:]], marker)
+            _retry(table, conditions, [marked, *writes[1:]], marker)
 
 
-def _apply_again(table, conditions, writes, marker):
+def _retry(table, conditions, writes, marker):
     try:
         table.transact(conditions, writes)
     except TransactionConflict:
-        # The first try may have been under way while the row was read.
+        # The first attempt may have taken effect after the row was read back.
         if not _was_applied(table, writes[0].key, marker):
             raise
 
@@ -58,11 +59,12 @@
 
 
 def require_version(row, key):
-    """Return the condition that a row is still as it was read.
+    """Return the condition that a row has not changed since it was read.
 
     Parameters
     ----------
     row : Row or None
+        The row as it was read; None requires that it is still absent.
     key : str
     """
     return Condition(key, row.version if row is not None else 0)
--- a/papayapick/ownership/commands.py
+++ b/papayapick/ownership/commands.py
@@ -1,7 +1,7 @@
 """Take and release shards by compare-and-set."""
 
 from papayapick.clients import Condition, TransactionConflict, Write
-from papayapick.clients.commands import transact_settled
+from papayapick.clients.transactions import transact_with_retry
 from papayapick.ownership.exceptions import TakeoverLost
 from papayapick.ownership.queries import ShardRow, read_shard
 
@@ -34,7 +34,7 @@
     """
     value = {"owner": host, "epoch": found.epoch + 1}
     try:
-        transact_settled(
+        transact_with_retry(
             table, [Condition(found.key, found.version)], [Write(found.key, value)]
         )
     except TransactionConflict as error:
@@ -64,7 +64,7 @@
     TableUnavailable
     """
     value = {"owner": "", "epoch": owned.epoch}
-    transact_settled(
+    transact_with_retry(
         table, [Condition(owned.key, owned.version)], [Write(owned.key, value)]
     )
     return ShardRow(owned.shard, "", owned.epoch, owned.version + 1)
--- a/tests/contracts/test_store.py
+++ b/tests/contracts/test_store.py
@@ -20,7 +20,7 @@
     TransactionConflict,
     Write,
 )
-from papayapick.clients.commands import transact_settled
+from papayapick.clients.transactions import transact_with_retry
 from papayapick.listening import create_listener
 from tests.standins.server import Platform
 
@@ -102,7 +102,7 @@
 
 
 def settle(store):
-    transact_settled(store.table, [Condition(KEY, 1)], [Write(KEY, {"n": 2})])
+    transact_with_retry(store.table, [Condition(KEY, 1)], [Write(KEY, {"n": 2})])
 
 
 # operation, faults, error, value of the row afterwards
