--- a/papayapick/wire/__init__.py
+++ b/papayapick/wire/__init__.py
@@ -5,7 +5,7 @@
 from papayapick.wire.exceptions import (
     CellKeyInvalid,
     FrameInvalid,
-    GreetingOverdue,
+    HandshakeTimeout,
     PeerDisconnected,
     PeerRefused,
     PeerTimeout,
@@ -21,7 +21,7 @@
     "CellKeys",
     "Connection",
     "FrameInvalid",
-    "GreetingOverdue",
+    "HandshakeTimeout",
     "PeerClient",
     "PeerDisconnected",
     "PeerRefused",
--- a/papayapick/wire/client.py
+++ b/papayapick/wire/client.py
@@ -1,4 +1,4 @@
-"""Call one peer over one connection."""
+"""Send requests to a peer and match the replies to them."""
 
 import itertools
 import socket
@@ -21,9 +21,10 @@
 
 
 class PeerClient:
-    """Send messages to a peer and pair the answers.
+    """Send messages to a peer over one connection.
 
-    The connection is opened at the first call and again after it broke.
+    The connection is opened by the first call, and opened again by the next call after
+    it broke.
 
     Parameters
     ----------
@@ -31,9 +32,11 @@
     cell_key : CellKeys or bytes
     identity : Hello
     executor : concurrent.futures.Executor
-        Runs one task that reads the connection.
+        Runs a task that reads replies for as long as the connection is open.
     connect_seconds : float
+        Time limit for connecting, and again for the handshake.
     meter : callable, optional
+        See ``Connection``.
     """
 
     __slots__ = (
@@ -69,7 +72,7 @@
         return self._address
 
     def call(self, payload, traceparent=""):
-        """Send a message whose answer is wanted.
+        """Send a message without waiting for its answer.
 
         Parameters
         ----------
@@ -79,7 +82,7 @@
         Returns
         -------
         concurrent.futures.Future
-            Gives the answering payload, or raises ``PeerRefused`` or
+            Its result is the payload of the answer, or it raises ``PeerRefused`` or
             ``PeerDisconnected``.
 
         Raises
@@ -112,11 +115,18 @@
             raise PeerTimeout(address=self._address, seconds=seconds) from error
 
     def tell(self, payload):
-        """Send a message that has no answer; a broken connection loses it."""
+        """Send a message that has no answer.
+
+        A message is lost without an error if the connection breaks before it arrives.
+
+        Raises
+        ------
+        PeerUnreachable, PeerDisconnected
+        """
         self._connected().send(0, payload)
 
     def close(self):
-        """Close the connection and fail what is outstanding."""
+        """Close the connection; outstanding calls fail with ``PeerDisconnected``."""
         with self._lock:
             connection, self._connection = self._connection, None
         if connection is not None:
@@ -134,7 +144,7 @@
         try:
             sock = socket.create_connection(self._address, self._connect_seconds)
             connection = Connection(sock, self._cell_key, self._identity, self._meter)
-            connection.greet(self._connect_seconds)
+            connection.initiate_handshake(self._connect_seconds)
         except ConnectionRefusedError as error:
             raise PeerNotListening(address=self._address) from error
         except (OSError, WireError) as error:
@@ -145,15 +155,15 @@
         try:
             while True:
                 identifier, payload, _ = connection.receive()
-                self._settle(identifier, payload)
+                self._resolve(identifier, payload)
         except WireError as error:
             self._fail(connection, error)
 
-    def _settle(self, identifier, payload):
+    def _resolve(self, identifier, payload):
         with self._lock:
             _, future = self._pending.pop(identifier, (None, None))
         if future is None:
-            # The caller gave up on this answer; it belongs to no one else.
+            # No call waits under this identifier: it has failed or was answered before.
             return
         if isinstance(payload, Refusal):
             future.set_exception(
@@ -172,12 +182,12 @@
         with self._lock:
             if self._connection is connection:
                 self._connection = None
-            lost = [
+            failed = [
                 identifier
                 for identifier, (sent_on, _) in self._pending.items()
                 if sent_on is connection
             ]
-            futures = [self._pending.pop(identifier)[1] for identifier in lost]
+            futures = [self._pending.pop(identifier)[1] for identifier in failed]
         for future in futures:
             error = PeerDisconnected(address=self._address)
             error.__cause__ = cause
--- a/papayapick/wire/codec.py
+++ b/papayapick/wire/codec.py
@@ -1,4 +1,4 @@
-"""Turn messages into packed Cap'n Proto bytes and back."""
+"""Encode and decode messages as packed Cap'n Proto bytes."""
 
 from pathlib import Path
 
@@ -21,12 +21,12 @@
     "tickets": messages.Ticket,
 }
 _TEXT_LISTS = frozenset(("avoid", "workers"))
-# Packing turns runs of zeros into two bytes, so a short frame can stand for
-# gigabytes: a message takes at most 16 MiB, four times the longest frame.
+# Packing encodes a run of zeros in two bytes, so a short frame can expand to gigabytes.
+# The limit bounds a decoded message to 16 MiB, four times the longest frame.
 _TRAVERSAL_WORDS = 2 << 20
 
 
-def _camel(name):
+def _camel_case(name):
     head, *rest = name.split("_")
     return head + "".join(part.title() for part in rest)
 
@@ -36,16 +36,16 @@
 _FIELDS = {}
 for _name in messages.__all__:
     _class = getattr(messages, _name)
-    _WIRE_NAMES[_class] = {slot: _camel(slot) for slot in _class.__slots__}
+    _WIRE_NAMES[_class] = {slot: _camel_case(slot) for slot in _class.__slots__}
     _FIELDS[_class] = _name[0].lower() + _name[1:]
     _CLASSES[_FIELDS[_class]] = _class
 
 
 def _fill(builder, payload):
-    """Set the fields of a message in place.
+    """Set the fields of a message builder from a payload.
 
-    Handing a nested mapping to the library costs six times as much. What equals
-    the schema's default is left out; the bytes are the same.
+    Building the message from a nested dict takes pycapnp six times as long. Empty
+    values equal the schema's defaults and are left out; the bytes are the same.
     """
     for slot, wire_name in _WIRE_NAMES[type(payload)].items():
         value = getattr(payload, slot)
@@ -71,7 +71,7 @@
     Parameters
     ----------
     identifier : int
-        Pairs an answer with its question.
+        Matches an answer to its request; 0 for a message that has no answer.
     payload : Payload
     traceparent : str
 
@@ -88,7 +88,7 @@
 
 
 def decode(data):
-    """Read one message.
+    """Decode one message.
 
     Parameters
     ----------
--- a/papayapick/wire/exceptions.py
+++ b/papayapick/wire/exceptions.py
@@ -1,11 +1,11 @@
-"""Errors between the processes of a cell."""
+"""Errors of the connections between the processes of a cell."""
 
 from papayapick.exceptions import PapayapickError, RetryAfter
 
 __all__ = [
     "CellKeyInvalid",
     "FrameInvalid",
-    "GreetingOverdue",
+    "HandshakeTimeout",
     "PeerDisconnected",
     "PeerNotListening",
     "PeerRefused",
@@ -29,49 +29,49 @@
 
 
 class CellKeyInvalid(WireError):
-    """Report a file that holds no key of a cell; a key's text is never shown."""
+    """Report a file without valid cell keys; the message never quotes a key."""
 
     code = "wire.cell-key-invalid"
-    template = "{path} holds no cell key: {reason}; hint: papayapick key cell FILE"
+    template = "{path} has no valid cell key: {reason}; hint: papayapick key cell FILE"
 
 
-class GreetingOverdue(WireError):
-    """Report a stranger that did not finish its greeting in time."""
+class HandshakeTimeout(WireError):
+    """Report a peer that did not complete the handshake in time."""
 
     code = "wire.greeting-overdue"
-    template = "the greeting took too long"
+    template = "the handshake was not completed in time"
 
 
 class PeerUnreachable(WireError):
-    """Report a connection that could not be made, so nothing was sent."""
+    """Report a connection that could not be opened, so nothing was sent."""
 
     code = "wire.peer-unreachable"
     template = "peer {address} cannot be reached"
 
 
 class PeerNotListening(PeerUnreachable):
-    """Report that no process listens at the address: the one of before has ended."""
+    """Report a refused connection: the process that listened there has ended."""
 
     code = "wire.peer-not-listening"
     template = "no process listens at {address}"
 
 
 class PeerDisconnected(WireError):
-    """Report a connection that broke with the answer outstanding."""
+    """Report a connection that broke, possibly with calls outstanding."""
 
     code = "wire.peer-disconnected"
-    template = "peer {address} went away before it answered"
+    template = "connection to peer {address} broke"
 
 
 class PeerTimeout(WireError):
-    """Report an answer that did not come in time."""
+    """Report an answer that did not arrive in time."""
 
     code = "wire.peer-timeout"
     template = "peer {address} did not answer within {seconds} s"
 
 
 class PeerRefused(RetryAfter, WireError):
-    """Carry a peer's typed refusal.
+    """Report that a peer answered with a ``Refusal``.
 
     ``outcome`` is one of ``not_run``, ``unknown`` and ``failed``;
     ``retry_after`` is in seconds.
@@ -82,7 +82,7 @@
 
     @property
     def outcome(self):
-        """Return what became of the work."""
+        """Return whether the work ran, as far as the peer knows."""
         return self._details["outcome"]
 
     @property
--- a/papayapick/wire/frames.py
+++ b/papayapick/wire/frames.py
@@ -1,10 +1,10 @@
-"""Carry authenticated frames over one TCP connection.
+"""Send and receive authenticated frames over a TCP connection.
 
-A frame is a length of 4 bytes, a code of 16 bytes and the message. The code is
-a keyed BLAKE2b over a counter and the message, so a frame that is forged,
-altered, replayed or reordered is refused. The session key comes from the
-cell's key and a nonce of each side. The caller takes the first of its cell keys
-and the listener answers under the one that the caller used.
+A frame consists of a length of 4 bytes, a message authentication code (MAC) of
+16 bytes and the message. The MAC is a keyed BLAKE2b over a counter and the message,
+so a frame that is forged, altered, replayed or reordered is refused. Each direction
+has a session key, derived from the cell key and a nonce of each side. The caller uses
+the first of its cell keys, and the listener answers under the key that the caller used.
 """
 
 import contextlib
@@ -17,44 +17,45 @@
 
 from papayapick.clock import SystemClock
 from papayapick.wire.codec import decode, encode
-from papayapick.wire.exceptions import FrameInvalid, GreetingOverdue, PeerDisconnected
+from papayapick.wire.exceptions import FrameInvalid, HandshakeTimeout, PeerDisconnected
 from papayapick.wire.keys import CellKeys
 from papayapick.wire.messages import Hello
 
-__all__ = ["FRAME_LIMIT_BYTES", "GREETING_LIMIT_BYTES", "Connection"]
+__all__ = ["FRAME_LIMIT_BYTES", "HANDSHAKE_LIMIT_BYTES", "Connection"]
 
 FRAME_LIMIT_BYTES = 4 << 20
-GREETING_LIMIT_BYTES = 1 << 10
-_GREETING_SECONDS = 2.0
+HANDSHAKE_LIMIT_BYTES = 1 << 10
+_HANDSHAKE_SECONDS = 2.0
 _SEND_SECONDS = 5
 _TIMEVAL = struct.Struct("@ll")
-_CODE_BYTES = 16
+_MAC_BYTES = 16
 _NONCE_BYTES = 16
 _HEADER = struct.Struct(">I")
 _COUNTER = struct.Struct(">Q")
 
 
-def _code(key, counter, body):
-    keyed = hashlib.blake2b(key=key, digest_size=_CODE_BYTES)
+def _mac(key, counter, body):
+    keyed = hashlib.blake2b(key=key, digest_size=_MAC_BYTES)
     keyed.update(_COUNTER.pack(counter))
     keyed.update(body)
     return keyed.digest()
 
 
 class Connection:
-    """Send and receive messages on an open socket.
+    """Exchange messages with a peer over a connected socket.
 
     Parameters
     ----------
     sock : socket.socket
     cell_keys : CellKeys or bytes
-        Shared by the processes of the cell.
+        Shared by all processes of the cell.
     identity : Hello
-        Host, region and zone of this process; the nonce is filled in.
+        Host, region and zone of this process; each handshake adds a new nonce.
     meter : callable, optional
-        Called with purpose, distance, direction and bytes of each frame.
+        Called with the message type, distance, direction and size in bytes of each
+        frame.
     clock : Clock, optional
-        Ends a greeting that takes too long.
+        Measures the time limit of the handshake.
     """
 
     __slots__ = (
@@ -94,18 +95,24 @@
 
     @property
     def distance(self):
-        """Return ``zone``, ``region`` or ``link``: how far the peer is away."""
+        """Return whether the peer is in the same zone, the same region or neither.
+
+        Returns
+        -------
+        {"zone", "region", "link"}
+            ``link`` also before the handshake.
+        """
         if self._peer is None or self._peer.region != self._identity.region:
             return "link"
         return "zone" if self._peer.zone == self._identity.zone else "region"
 
-    def greet(self, seconds=_GREETING_SECONDS):
-        """Exchange greetings as the side that connected.
+    def initiate_handshake(self, seconds=_HANDSHAKE_SECONDS):
+        """Perform the handshake as the side that connected.
 
         Parameters
         ----------
         seconds : float
-            For the whole greeting.
+            Time limit of the whole handshake.
 
         Raises
         ------
@@ -115,66 +122,80 @@
         nonce = self._send_hello()
         self._receive_hello(self._cell_keys.first)
         self._derive_keys(nonce, self._peer.nonce, is_caller=True)
-        self._end_greeting()
+        self._finish_handshake()
 
-    def answer_greeting(self, seconds=_GREETING_SECONDS):
-        """Exchange greetings as the side that listened."""
+    def accept_handshake(self, seconds=_HANDSHAKE_SECONDS):
+        """Perform the handshake as the side that accepted the connection.
+
+        Raises
+        ------
+        FrameInvalid, HandshakeTimeout, PeerDisconnected
+        """
         self._deadline = self._clock.monotonic() + seconds
         self._receive_hello(*self._cell_keys)
         nonce = self._send_hello()
         self._derive_keys(self._peer.nonce, nonce, is_caller=False)
-        self._end_greeting()
+        self._finish_handshake()
 
     def send(self, identifier, payload, traceparent=""):
-        """Send one message; callable from several threads."""
+        """Send one message; safe to call from several threads.
+
+        Raises
+        ------
+        PeerDisconnected
+        """
         body = encode(identifier, payload, traceparent)
         with self._send_lock:
-            code = _code(self._send_key, self._send_counter, body)
+            mac = _mac(self._send_key, self._send_counter, body)
             self._send_counter += 1
-            frame = _HEADER.pack(len(body)) + code + body
+            frame = _HEADER.pack(len(body)) + mac + body
             try:
                 self._socket.sendall(frame)
             except OSError as error:
-                # Part of a frame may have gone out; what came after it would be
-                # read as the rest of it.
+                # Part of the frame may have been sent. The peer would read the next
+                # frame as the rest of it, so the connection can't be used again.
                 self.close()
                 raise PeerDisconnected(address=self._address()) from error
         self._meter(type(payload).__name__, self.distance, "sent", len(frame))
 
     def receive(self):
-        """Wait for one message.
+        """Wait for the next message.
 
         Returns
         -------
         identifier : int
         payload : Payload
         traceparent : str
+
+        Raises
+        ------
+        FrameInvalid, PeerDisconnected
         """
-        code, body = self._read_frame(FRAME_LIMIT_BYTES)
-        if not self._is_authentic(self._receive_key, code, body):
-            raise FrameInvalid(reason="the code does not match")
+        mac, body = self._read_frame(FRAME_LIMIT_BYTES)
+        if not self._is_authentic(self._receive_key, mac, body):
+            raise FrameInvalid(reason="the authentication code does not match")
         return self._decoded(body)
 
     def _read_frame(self, limit):
         (length,) = _HEADER.unpack(self._read(_HEADER.size))
         if length > limit:
             raise FrameInvalid(reason=f"{length} bytes are over the limit")
-        return self._read(_CODE_BYTES), self._read(length)
+        return self._read(_MAC_BYTES), self._read(length)
 
-    def _is_authentic(self, key, code, body):
-        expected = _code(key, self._receive_counter, body)
-        return hmac.compare_digest(code, expected)
+    def _is_authentic(self, key, mac, body):
+        expected = _mac(key, self._receive_counter, body)
+        return hmac.compare_digest(mac, expected)
 
     def _decoded(self, body):
         self._receive_counter += 1
         identifier, payload, traceparent = decode(body)
-        size = _HEADER.size + _CODE_BYTES + len(body)
+        size = _HEADER.size + _MAC_BYTES + len(body)
         self._meter(type(payload).__name__, self.distance, "received", size)
         return identifier, payload, traceparent
 
     def close(self):
-        """Close the socket; a reader blocked on it wakes up."""
-        # The other side may be faster; then there is nothing left to shut down.
+        """Close the socket; this also wakes a thread that is blocked reading it."""
+        # Fails if the peer has closed the connection already.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
@@ -194,23 +215,23 @@
         return nonce
 
     def _receive_hello(self, *keys):
-        # A stranger may send anything: a long frame would hold memory before
-        # its code is checked, so a greeting is short.
-        code, body = self._read_frame(GREETING_LIMIT_BYTES)
-        matching = [key for key in keys if self._is_authentic(key, code, body)]
+        # The peer is not authenticated yet. A long frame would take up memory before
+        # its MAC is checked, so a greeting may be much shorter than other frames.
+        mac, body = self._read_frame(HANDSHAKE_LIMIT_BYTES)
+        matching = [key for key in keys if self._is_authentic(key, mac, body)]
         if not matching:
-            raise FrameInvalid(reason="the code does not match")
+            raise FrameInvalid(reason="the authentication code does not match")
         self._cell_key = self._send_key = matching[0]
         _, payload, _ = self._decoded(body)
         if not isinstance(payload, Hello) or len(payload.nonce) != _NONCE_BYTES:
-            raise FrameInvalid(reason="no greeting")
+            raise FrameInvalid(reason="the first message is no greeting")
         self._peer = payload
 
-    def _end_greeting(self):
+    def _finish_handshake(self):
         self._deadline = None
         self._socket.settimeout(None)
-        # A frozen peer stops reading; without a limit, whoever answers it would
-        # block here for good, with the lock that other answers need.
+        # A frozen peer stops reading. Without a time limit, a thread that sends to it
+        # would block for ever while it holds the lock that other senders need.
         limit = _TIMEVAL.pack(_SEND_SECONDS, 0)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, limit)
 
@@ -226,7 +247,7 @@
     def _read(self, size):
         parts = bytearray()
         while len(parts) < size:
-            self._limit_wait()
+            self._apply_deadline()
             try:
                 part = self._socket.recv(size - len(parts))
             except OSError as error:
@@ -236,15 +257,15 @@
             parts += part
         return bytes(parts)
 
-    def _limit_wait(self):
-        # A timeout for each part alone would let a stranger that sends a byte
-        # now and then hold a task for ever.
+    def _apply_deadline(self):
+        # With a timeout per read only, an unauthenticated peer that sends single bytes
+        # slowly would occupy a thread for ever.
         if self._deadline is None:
             return
-        rest = self._deadline - self._clock.monotonic()
-        if rest <= 0:
-            raise GreetingOverdue()
-        self._socket.settimeout(rest)
+        remaining = self._deadline - self._clock.monotonic()
+        if remaining <= 0:
+            raise HandshakeTimeout()
+        self._socket.settimeout(remaining)
 
     def _address(self):
-        return self._peer.host if self._peer else "before its greeting"
+        return self._peer.host if self._peer else "unknown (before its greeting)"
--- a/papayapick/wire/keys.py
+++ b/papayapick/wire/keys.py
@@ -1,4 +1,4 @@
-"""Hold the keys of a cell, so that one can be replaced while the cell runs."""
+"""Read the keys of a cell, which can be replaced while the cell runs."""
 
 import base64
 import binascii
@@ -7,21 +7,21 @@
 
 __all__ = ["CellKeys"]
 
-_LEAST_KEY_BYTES = 32
-_MOST_KEYS = 4
+_MIN_KEY_BYTES = 32
+_MAX_KEYS = 4
 
 
 class CellKeys:
     """Hold the keys that a process accepts; it opens connections with the first.
 
-    A key is replaced in three rounds, each over all processes: accept the new
-    one as second, then put it first, then drop the old one. At each moment any
-    two processes have a key in common that the caller sends first.
+    A key is rotated in three steps, each completed on all processes: add the new key
+    as the second one, then move it to the front, then remove the old key. At any time,
+    the first key of each process is accepted by all others.
 
     Parameters
     ----------
     keys : sequence of bytes
-        Each of at most 64 bytes.
+        Each has at most 64 bytes.
 
     Examples
     --------
@@ -41,17 +41,17 @@
         return len(self._keys)
 
     def __repr__(self):
-        # A key in a log line or a traceback would be a key given away.
+        # The default would disclose the keys in log lines and tracebacks.
         return f"CellKeys({len(self._keys)} keys)"
 
     @property
     def first(self):
-        """Return the key with which connections are opened."""
+        """Return the key that opens connections."""
         return self._keys[0]
 
     @classmethod
     def of(cls, keys):
-        """Return the keys themselves, or those of one key given as bytes."""
+        """Return CellKeys as they are; wrap a single key given as bytes."""
         return keys if isinstance(keys, cls) else cls([keys])
 
     @classmethod
@@ -61,19 +61,19 @@
         Raises
         ------
         CellKeyInvalid
-            Tells the line, never its text.
+            Names the line but never quotes it.
         """
         try:
             with open(path, "rb") as file:
                 lines = file.read().split()
         except OSError as error:
             raise CellKeyInvalid(path=path, reason=error.strerror) from error
-        if not 0 < len(lines) <= _MOST_KEYS:
-            reason = f"it has {len(lines)} keys, allowed are 1 to {_MOST_KEYS}"
+        if not 0 < len(lines) <= _MAX_KEYS:
+            reason = f"it has {len(lines)} keys, expected 1 to {_MAX_KEYS}"
             raise CellKeyInvalid(path=path, reason=reason)
         keys = [_decoded(path, number, line) for number, line in enumerate(lines, 1)]
         if len(set(keys)) != len(keys):
-            raise CellKeyInvalid(path=path, reason="a key stands twice")
+            raise CellKeyInvalid(path=path, reason="a key stands twice in it")
         return cls(keys)
 
 
@@ -82,8 +82,8 @@
         key = base64.b64decode(line, validate=True)
     except binascii.Error:
         key = b""
-    if not _LEAST_KEY_BYTES <= len(key) <= 64:
-        reason = f"line {number} is no base64 of {_LEAST_KEY_BYTES} to 64 bytes"
-        # Without its cause, which quotes the line.
+    if not _MIN_KEY_BYTES <= len(key) <= 64:
+        reason = f"line {number} is not the base64 form of {_MIN_KEY_BYTES} to 64 bytes"
+        # Without a cause, since its traceback could show the line.
         raise CellKeyInvalid(path=path, reason=reason) from None
     return key
--- a/papayapick/wire/messages.py
+++ b/papayapick/wire/messages.py
@@ -1,4 +1,4 @@
-"""Name the messages as plain classes."""
+"""Define the messages of ``messages.capnp`` as plain classes."""
 
 __all__ = [
     "Acknowledgement",
@@ -33,10 +33,10 @@
 
 
 class Payload:
-    """Stand for the body of one message.
+    """Represent the body of one message.
 
-    The names in ``__slots__`` are the fields of the schema in snake case; a
-    field that is not given keeps the schema's default.
+    The names in ``__slots__`` are the fields of the schema in snake case. A field that
+    is not given is sent with the schema's default.
 
     Examples
     --------
@@ -58,38 +58,38 @@
 
 
 class Hello(Payload):
-    """Open a connection: who speaks, and a nonce for the session key."""
+    """Open a connection: identity of the sender and a nonce for the session keys."""
 
     __slots__ = ("host", "nonce", "region", "zone")
 
 
 class ServiceLoad(Payload):
-    """Tell the free slots and waiting requests of a service in a shard."""
+    """Report the free slots and waiting requests of a service in a shard."""
 
     __slots__ = ("free_slots", "service", "waiting")
 
 
 class ShardSummary(Payload):
-    """Tell who serves a shard at which epoch, and its load."""
+    """Report a shard that a placer serves, with its epoch and load."""
 
     __slots__ = ("epoch", "loads", "shard")
 
 
 class PlacerSummary(Payload):
-    """Tell what one live placer of a region serves."""
+    """Report the shards that one live placer of a region serves."""
 
     __slots__ = ("draining", "host", "shards")
 
 
 class Heartbeat(Payload):
-    """Say that a process lives, what it owns and which bundle it runs.
-
-    ``confirmed`` tells whether it has looked since its last pause. ``known`` is
-    the version of the region summary that the asker has; a summary with that
-    version comes without its ``placers``; its age is that of the oldest word in
-    it. ``head_version`` and ``list_tag``
-    are what the process has read of the bundle's head and the live list, so
-    that others look only once they change.
+    """Report that a process is alive, what it owns and which bundle it runs.
+
+    ``confirmed`` says whether the process has checked its bundle since its last pause.
+    ``known`` is the version of the region summary that the sender has. An answer with
+    the same ``summary_version`` leaves out its ``placers``; the age of a summary is
+    that of its oldest report. ``head_version`` and ``list_tag`` identify the bundle
+    head and the live list that the process has read, so that others read them only
+    after a change.
     """
 
     __slots__ = (
@@ -109,7 +109,7 @@
 
 
 class SlotRequest(Payload):
-    """Ask for a slot on an instance of a service."""
+    """Request a slot on an instance of a service."""
 
     __slots__ = (
         "avoid",
@@ -123,19 +123,19 @@
 
 
 class SlotGrant(Payload):
-    """Give a slot on one instance."""
+    """Grant a slot on one instance."""
 
     __slots__ = ("epoch", "grant_id", "instance", "shard", "url")
 
 
 class Release(Payload):
-    """Give a slot back with what became of the call."""
+    """Release a slot and report the outcome of the call."""
 
     __slots__ = ("epoch", "grant_id", "outcome", "run_microseconds", "shard")
 
 
 class Submit(Payload):
-    """Hand over work that must be durable."""
+    """Submit work that must be journaled before it is acknowledged."""
 
     __slots__ = (
         "caller",
@@ -152,19 +152,19 @@
 
 
 class WorkQuery(Payload):
-    """Ask for the state of durable work."""
+    """Request the state of durable work."""
 
     __slots__ = ("explain", "request_id", "shard")
 
 
 class WorkCancel(Payload):
-    """Ask that durable work be cancelled."""
+    """Request the cancellation of durable work."""
 
     __slots__ = ("request_id", "shard")
 
 
 class WorkState(Payload):
-    """Tell the state of durable work and, when it is over, its result."""
+    """Report the state of durable work and, once it has ended, its result."""
 
     __slots__ = (
         "content_type",
@@ -178,52 +178,52 @@
 
 
 class Refusal(Payload):
-    """Refuse a message with a typed error."""
+    """Refuse a message with the code of an error."""
 
     __slots__ = ("code", "detail", "outcome", "retry_after_milliseconds")
 
 
 class Acknowledgement(Payload):
-    """Confirm a message that has no answer of its own."""
+    """Acknowledge a message whose answer carries no other data."""
 
     __slots__ = ("bundle_sequence",)
 
 
 class BundleQuery(Payload):
-    """Ask for the signed envelope of a bundle."""
+    """Request the signed envelope of a bundle."""
 
     __slots__ = ("digest",)
 
 
 class BundleBody(Payload):
-    """Give the signed envelope of a bundle."""
+    """Carry the signed envelope of a bundle."""
 
     __slots__ = ("envelope",)
 
 
 class Handover(Payload):
-    """Tell the next owner of a shard that it was released at an epoch."""
+    """Notify the next owner of a shard that it was released at an epoch."""
 
     __slots__ = ("epoch", "shard")
 
 
 class JobNews(Payload):
-    """Tell the status of one job."""
+    """Report the status of one job."""
 
     __slots__ = ("identifier", "status")
 
 
 class QueueLoad(Payload):
-    """Tell how many jobs of a queue have not begun, and when it takes more."""
+    """Report how many jobs of a queue have not begun and when it accepts more."""
 
     __slots__ = ("queue", "retry_after_seconds", "waiting")
 
 
 class PoolBeat(Payload):
-    """Tell who owns a pool, and what has changed there.
+    """Report the owner of a pool and the changes of its jobs and queues.
 
-    ``known_at_milliseconds`` is the time as of which the numbers of ``queue_loads`` are
-    true, by the clock of the host that is told; 0 where they are not known to be.
+    ``known_at_milliseconds`` is the time at which the numbers of ``queue_loads`` were
+    valid, on the monotonic clock of the receiving host, or 0 if it is unknown.
     """
 
     __slots__ = (
@@ -240,7 +240,7 @@
 
 
 class PoolBeatAnswer(Payload):
-    """Tell the newest epoch a host knows, and how old its word from the store is.
+    """Report the newest epoch that a host knows and the age of its data of the store.
 
     ``clock_milliseconds`` is the monotonic time of the host that answers.
     """
@@ -249,36 +249,36 @@
 
 
 class AdviceQuery(Payload):
-    """Ask a host to ask the advice service about a step."""
+    """Ask a host to call the advice service for a step."""
 
     __slots__ = ("expected_milliseconds", "step", "workers")
 
 
 class Ticket(Payload):
-    """Hold the ticket with which a worker may run a step."""
+    """Carry the ticket that allows a worker to run a step."""
 
     __slots__ = ("ticket", "worker")
 
 
 class AdviceReply(Payload):
-    """Tell which workers may run a step."""
+    """Carry the tickets of the workers that may run a step."""
 
     __slots__ = ("tickets",)
 
 
 class StoreCall(Payload):
-    """Ask a host to call the store: a transaction, or a range of rows, as JSON."""
+    """Ask a host to call the store: a transaction, or a read of rows, as JSON."""
 
     __slots__ = ("expectations", "range", "writes")
 
 
 class StoreResult(Payload):
-    """Tell what became of a relayed call, with its rows or version as JSON."""
+    """Report the outcome of a relayed store call, with its rows or version as JSON."""
 
     __slots__ = ("body", "outcome")
 
 
 class OwnerQuery(Payload):
-    """Ask a host whether it owns a pool now; answered by ``PoolBeatAnswer``."""
+    """Ask a host whether it owns a pool; answered with ``PoolBeatAnswer``."""
 
     __slots__ = ("pool",)
--- a/papayapick/wire/server.py
+++ b/papayapick/wire/server.py
@@ -1,4 +1,4 @@
-"""Answer peers: one task for each connection."""
+"""Accept connections of peers and answer their messages."""
 
 import contextlib
 import socket
@@ -15,30 +15,32 @@
 
 _LOG = get_logger(__name__)
 _BACKLOG = 128
-_GREETING_SECONDS = 2.0
-# A hundred peers that come back at once greet within milliseconds each.
-_GREETINGS_AT_ONCE = 64
+_HANDSHAKE_SECONDS = 2.0
+# A hundred peers that reconnect at once complete their handshakes within milliseconds.
+_MAX_CONCURRENT_HANDSHAKES = 64
 
 
 class PeerServer:
-    """Accept peers and hand their messages to a handler.
+    """Accept connections and pass each message to a handler.
+
+    Each connection occupies one task of the executor.
 
     Parameters
     ----------
     address : tuple of (str, int)
-        Port 0 takes any free port.
+        Port 0 selects any free port.
     cell_key : CellKeys or bytes
     identity : Hello
     handler : callable
         Called with payload, peer and traceparent; returns a payload, a future
         of one, or None for a message that has no answer. A
-        ``PapayapickError`` it raises goes back as a ``Refusal``.
+        ``PapayapickError`` that it raises is sent back as a ``Refusal``.
     executor : concurrent.futures.Executor
     meter : callable, optional
     clock : Clock, optional
     on_disconnect : callable, optional
-        Called with the ``Hello`` of a peer whose connection has ended: a process
-        that was killed is noticed by that before its heartbeats are missed.
+        Called with the ``Hello`` of a peer whose connection has ended, so that a
+        killed process is detected before its heartbeats are missed.
     """
 
     __slots__ = (
@@ -46,8 +48,8 @@
         "_clock",
         "_connections",
         "_executor",
-        "_greetings",
         "_handler",
+        "_handshakes",
         "_identity",
         "_listener",
         "_lock",
@@ -75,7 +77,7 @@
         self._executor = executor
         self._meter = meter
         self._clock = clock
-        self._greetings = threading.BoundedSemaphore(_GREETINGS_AT_ONCE)
+        self._handshakes = threading.BoundedSemaphore(_MAX_CONCURRENT_HANDSHAKES)
         self._connections = set()
         self._lock = threading.Lock()
         self._stopping = False
@@ -86,13 +88,13 @@
         return self._listener.getsockname()[:2]
 
     def start(self):
-        """Start accepting."""
+        """Start accepting connections."""
         self._executor.submit(self._accept)
 
     def close(self):
-        """Stop accepting and close every connection."""
+        """Stop accepting connections and close the open ones."""
         self._stopping = True
-        # Not every system lets a listening socket be shut down.
+        # Some systems refuse to shut down a listening socket.
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -107,9 +109,10 @@
                 sock, _ = self._listener.accept()
             except OSError:
                 continue
-            # Strangers that connect and stay silent hold a task each until their
-            # time is over; past this many, the tasks of real peers would run out.
-            if not self._greetings.acquire(blocking=False):
+            # A connection that sends nothing occupies a task until its handshake
+            # times out. Without this bound, such connections would leave no tasks
+            # for authenticated peers.
+            if not self._handshakes.acquire(blocking=False):
                 sock.close()
                 continue
             connection = Connection(
@@ -121,7 +124,7 @@
         with self._lock:
             self._connections.add(connection)
         try:
-            self._greet(connection)
+            self._accept_handshake(connection)
             while True:
                 identifier, payload, traceparent = connection.receive()
                 self._handle(connection, identifier, payload, traceparent)
@@ -134,11 +137,11 @@
             if connection.peer is not None and not self._stopping:
                 self._on_disconnect(connection.peer)
 
-    def _greet(self, connection):
+    def _accept_handshake(self, connection):
         try:
-            connection.answer_greeting(_GREETING_SECONDS)
+            connection.accept_handshake(_HANDSHAKE_SECONDS)
         finally:
-            self._greetings.release()
+            self._handshakes.release()
 
     def _handle(self, connection, identifier, payload, traceparent):
         try:
@@ -146,33 +149,34 @@
         except PapayapickError as error:
             answer = refusal_of(error)
         except Exception as error:
-            # A fault in one handler must not cut off the peer's other calls.
+            # An unexpected error of one call must not end the peer's other calls, which
+            # share the connection.
             _LOG.exception("handler failed", extra={"kind": type(payload).__name__})
             answer = _unexpected(error)
         if isinstance(answer, Future):
             answer.add_done_callback(
-                lambda done: self._answer_later(connection, identifier, done)
+                lambda future: self._send_result(connection, identifier, future)
             )
         elif answer is not None:
             connection.send(identifier, answer)
 
-    def _answer_later(self, connection, identifier, done):
-        error = done.exception()
+    def _send_result(self, connection, identifier, future):
+        error = future.exception()
         if error is None:
-            answer = done.result()
+            answer = future.result()
         elif isinstance(error, PapayapickError):
             answer = refusal_of(error)
         else:
-            _LOG.error("handler failed later", exc_info=error)
+            _LOG.error("future of the handler failed", exc_info=error)
             answer = _unexpected(error)
         try:
             connection.send(identifier, answer)
         except WireError:
-            _LOG.debug("answer had no connection left")
+            _LOG.debug("answer dropped: connection closed")
 
 
 def refusal_of(error):
-    """Return the ``Refusal`` that tells a peer of an error.
+    """Return the ``Refusal`` that reports an error to a peer.
 
     Parameters
     ----------
--- a/tests/wire/links.py
+++ b/tests/wire/connections.py
@@ -1,4 +1,4 @@
-"""Connect two ends over loopback for the tests of the wire."""
+"""Connections and servers over loopback for the tests of papayapick.wire."""
 
 import contextlib
 import socket
@@ -26,16 +26,16 @@
 
 
 @contextlib.contextmanager
-def greeted(near_keys=KEY, far_keys=KEY):
-    """Give two connections that have exchanged greetings, and their sockets."""
+def connected_pair(near_keys=KEY, far_keys=KEY):
+    """Yield two connections after their handshake, and their sockets."""
     near, far = socket_pair()
     caller = Connection(near, near_keys, identity("caller"))
     listener = Connection(far, far_keys, identity())
     with ThreadPoolExecutor(1) as executor:
-        answered = executor.submit(listener.answer_greeting)
+        accepted = executor.submit(listener.accept_handshake)
         try:
-            caller.greet()
-            answered.result(WAIT_SECONDS)
+            caller.initiate_handshake()
+            accepted.result(WAIT_SECONDS)
             yield caller, listener, near, far
         finally:
             caller.close()
@@ -44,11 +44,11 @@
 
 @contextlib.contextmanager
 def serving(keys=KEY, handler=None, clock=None, tasks=8):
-    """Give a running PeerServer; its handler's messages are listed."""
-    seen = []
+    """Yield a running PeerServer and the list of messages that it received."""
+    received = []
 
     def answer(payload, peer, traceparent):
-        seen.append(payload)
+        received.append(payload)
         return handler(payload) if handler else Acknowledgement(bundle_sequence=7)
 
     executor = ThreadPoolExecutor(tasks)
@@ -57,14 +57,14 @@
     )
     server.start()
     try:
-        yield server, seen
+        yield server, received
     finally:
         server.close()
         executor.shutdown()
 
 
 def is_closed_by_peer(sock):
-    """Wait until the other side closes; return whether it sent nothing before."""
+    """Return whether the peer closes the connection without sending anything."""
     sock.settimeout(WAIT_SECONDS)
     try:
         return sock.recv(1) == b""
--- a/tests/wire/test_envelopes.py
+++ b/tests/wire/test_envelopes.py
@@ -1,4 +1,4 @@
-"""Bundles come from outside: whatever they hold, the answer is a typed error."""
+"""Envelopes are untrusted input: any invalid content is refused with a typed error."""
 
 import copy
 import json
@@ -31,16 +31,16 @@
 )
 
 
-def _places(node, path=()):
+def _paths(node, path=()):
     """Yield the path of each value of a document."""
     items = node.items() if isinstance(node, dict) else enumerate(node)
     for key, value in items:
         yield (*path, key)
         if isinstance(value, (dict, list)):
-            yield from _places(value, (*path, key))
+            yield from _paths(value, (*path, key))
 
 
-def _changed(path, value):
+def _document_with(path, value):
     found = copy.deepcopy(DOCUMENT)
     node = found
     for key in path[:-1]:
@@ -50,7 +50,7 @@
 
 
 def _read(data):
-    """Return an envelope, or None where it is refused with the typed error."""
+    """Return the envelope, or None if it is refused with BundleInvalid."""
     try:
         return Envelope.from_bytes(data)
     except BundleInvalid as error:
@@ -65,31 +65,34 @@
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(st.sampled_from(sorted(_places(DOCUMENT), key=str)), VALUES)
-def test_any_change_of_a_document_is_refused_or_unsigned(path, value):
-    envelope = _read(json.dumps({"document": _changed(path, value)}).encode())
+@given(st.sampled_from(sorted(_paths(DOCUMENT), key=str)), VALUES)
+def test_changed_document_is_refused_or_unsigned(path, value):
+    envelope = _read(json.dumps({"document": _document_with(path, value)}).encode())
     if envelope is not None:
-        # What is still a bundle may hold anything a bundle may, so that only
-        # its signatures tell whether operators meant it.
+        # A changed document may still be a valid bundle. Then only the missing
+        # signatures show that operators have not approved it.
         with pytest.raises(SignaturesMissing):
             RING.verify(envelope)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.dictionaries(st.text(max_size=5) | st.just("ana"), st.text(max_size=90)))
-def test_any_signatures_are_no_approval(signatures):
+def test_arbitrary_signatures_are_not_accepted(signatures):
     data = json.dumps({"document": DOCUMENT, "signatures": signatures}).encode()
     with pytest.raises(SignaturesMissing):
         RING.verify(_read(data))
 
 
 @settings(derandomize=True, max_examples=50, deadline=None)
-@given(st.sampled_from(sorted(_places(DOCUMENT), key=str)), st.integers(1, 9))
+@given(st.sampled_from(sorted(_paths(DOCUMENT), key=str)), st.integers(1, 9))
 def test_signature_does_not_cover_a_changed_document(path, value):
     envelope = _read(json.dumps({"document": DOCUMENT}).encode())
     sign(envelope, "ana", PRIVATE)
     RING.verify(envelope)
-    changed = {"document": _changed(path, value), "signatures": envelope.signatures}
+    changed = {
+        "document": _document_with(path, value),
+        "signatures": envelope.signatures,
+    }
     if changed["document"] != DOCUMENT:
         envelope = _read(json.dumps(changed).encode())
         if envelope is not None:
@@ -104,7 +107,10 @@
     ("long number", b'{"document": ' + b"9" * 10_000 + b"}"),
     ("no text", b"\xff\xfe\x00"),
     ("signatures of a wrong type", json.dumps({"document": DOCUMENT, "signatures": 7})),
-    ("not a number", json.dumps({"document": _changed(("format",), float("nan"))})),
+    (
+        "not a number",
+        json.dumps({"document": _document_with(("format",), float("nan"))}),
+    ),
 ]
 
 
--- a/tests/wire/test_keys.py
+++ b/tests/wire/test_keys.py
@@ -1,4 +1,4 @@
-"""A cell's key is replaced while the cell runs."""
+"""A cell key can be rotated while the cell runs."""
 
 import base64
 
@@ -6,10 +6,10 @@
 
 from papayapick.wire import CellKeyInvalid, CellKeys, FrameInvalid, WireError
 from papayapick.wire.messages import WorkQuery
-from tests.wire.links import greeted
+from tests.wire.connections import connected_pair
 
 OLD, NEW = b"o" * 32, b"n" * 32
-# Each step of a rotation, as the processes before and after it hold the keys.
+# Each step of a rotation: the keys of a process before the step and after it.
 STEPS = [
     ("before", [OLD], [OLD]),
     ("second accepted", [OLD], [OLD, NEW]),
@@ -22,9 +22,9 @@
 @pytest.mark.parametrize(
     ("one", "other"), [row[1:] for row in STEPS], ids=[row[0] for row in STEPS]
 )
-def test_processes_on_both_sides_of_a_step_understand_each_other(one, other):
+def test_processes_before_and_after_a_step_can_connect(one, other):
     for near, far in ((one, other), (other, one)):
-        with greeted(CellKeys(near), CellKeys(far)) as (caller, listener, _, _):
+        with connected_pair(CellKeys(near), CellKeys(far)) as (caller, listener, _, _):
             caller.send(1, WorkQuery(shard="s", request_id="r"))
             assert listener.receive()[1].request_id == "r"
             listener.send(1, WorkQuery(shard="s", request_id="back"))
@@ -32,9 +32,9 @@
 
 
 @pytest.mark.parametrize(("near", "far"), [([OLD], [NEW]), ([NEW, OLD], [OLD])])
-def test_step_left_out_is_refused(near, far):
+def test_rotation_with_a_skipped_step_is_refused(near, far):
     with pytest.raises((FrameInvalid, WireError)):
-        with greeted(CellKeys(near), CellKeys(far)):
+        with connected_pair(CellKeys(near), CellKeys(far)):
             raise AssertionError("greeted without a common key")
 
 
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(
     ("data", "reason"), [row[1:] for row in FILES], ids=[row[0] for row in FILES]
 )
-def test_bad_key_file_is_a_typed_error_without_its_text(tmp_path, data, reason):
+def test_invalid_key_file_is_reported_without_its_content(tmp_path, data, reason):
     path = tmp_path / "cell.key"
     path.write_bytes(data)
     with pytest.raises(CellKeyInvalid, match=reason) as caught:
@@ -65,12 +65,12 @@
     assert caught.value.__cause__ is None
 
 
-def test_missing_key_file_is_a_typed_error(tmp_path):
+def test_missing_key_file_is_reported(tmp_path):
     with pytest.raises(CellKeyInvalid):
         CellKeys.from_file(tmp_path / "nowhere")
 
 
-def test_keys_do_not_show_their_text(tmp_path):
+def test_repr_does_not_show_the_keys(tmp_path):
     path = tmp_path / "cell.key"
     path.write_bytes(_line(OLD) + b"\n" + _line(NEW) + b"\n")
     keys = CellKeys.from_file(path)
--- a/tests/wire/test_messages.py
+++ b/tests/wire/test_messages.py
@@ -1,4 +1,4 @@
-"""Every message comes out of its bytes as it went in."""
+"""Messages survive encoding and decoding unchanged."""
 
 import pytest
 from hypothesis import given, settings
@@ -47,16 +47,16 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.one_of([_payloads(kind) for kind in CLASSES]), IDENTIFIER, TEXT)
-def test_message_comes_out_as_it_went_in(payload, identifier, traceparent):
-    found = decode(encode(identifier, payload, traceparent))
-    assert (found[0], found[2]) == (identifier, traceparent)
-    assert type(found[1]) is type(payload)
-    assert repr(found[1]) == repr(payload)
+def test_decoded_message_equals_the_encoded_one(payload, identifier, traceparent):
+    decoded = decode(encode(identifier, payload, traceparent))
+    assert (decoded[0], decoded[2]) == (identifier, traceparent)
+    assert type(decoded[1]) is type(payload)
+    assert repr(decoded[1]) == repr(payload)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_a_typed_error(data):
+def test_any_bytes_decode_to_a_message_or_raise_frame_invalid(data):
     try:
         _, payload, _ = decode(data)
     except FrameInvalid:
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("kind", CLASSES, ids=lambda kind: kind.__name__)
-def test_cut_message_is_refused_or_read(kind):
+def test_truncated_message_is_decoded_or_refused(kind):
     whole = encode(1, kind())
     for kept in range(len(whole)):
         try:
