--- a/papayapick/ownership/commands.py
+++ b/papayapick/ownership/commands.py
@@ -1,7 +1,7 @@
 """Claim and release shards by compare-and-set."""
 
 from papayapick.clients import Condition, TransactionConflict, Write
-from papayapick.clients.commands import transact_settled
+from papayapick.clients.transactions import transact_with_retry
 from papayapick.ownership.exceptions import TakeoverLost
 from papayapick.ownership.queries import ShardRow, read_shard
 
@@ -35,7 +35,7 @@
     """
     value = {"owner": host, "epoch": seen.epoch + 1}
     try:
-        transact_settled(
+        transact_with_retry(
             table, [Condition(seen.key, seen.version)], [Write(seen.key, value)]
         )
     except TransactionConflict as error:
@@ -66,7 +66,7 @@
     TableUnavailable
     """
     value = {"owner": "", "epoch": owned.epoch}
-    transact_settled(
+    transact_with_retry(
         table, [Condition(owned.key, owned.version)], [Write(owned.key, value)]
     )
     return ShardRow(owned.shard, "", owned.epoch, owned.version + 1)
--- a/papayapick/platform/machines.py
+++ b/papayapick/platform/machines.py
@@ -5,9 +5,9 @@
 import urllib.parse
 
 from papayapick.clients.exceptions import AnswerInvalid, AnswerMissing, NotSent
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 
-__all__ = ["Machine", "MachineList", "UpkeepOutcome"]
+__all__ = ["Machine", "MachineClient", "UpkeepOutcome"]
 
 # A list of 200 machines is answered in 10 ms; past this the next look asks again.
 _CALL_SECONDS = 0.8
@@ -62,8 +62,8 @@
         self.worker = worker
 
 
-class MachineList:
-    """Call the service that knows the machines.
+class MachineClient:
+    """Call the service that lists the machines and begins their upkeep.
 
     Parameters
     ----------
@@ -79,8 +79,8 @@
         self._pool = pool
 
     @property
-    def is_there(self):
-        """Return whether the settings name such a service."""
+    def is_configured(self):
+        """Return whether the settings name a machine service."""
         return bool(self._address)
 
     def fetch(self):
@@ -92,7 +92,7 @@
 
         Raises
         ------
-        CheckFailed
+        CallFailed
             Also where a page is missing: a part of the list tells nothing of the
             machines that are not in it.
         """
@@ -103,10 +103,10 @@
                 found += [_machine(one) for one in page["machines"]]
                 token = page.get("next_token")
             except (KeyError, TypeError, AttributeError) as error:
-                raise CheckFailed(address=self._address, status=200) from error
+                raise CallFailed(address=self._address, status=200) from error
             if not token:
                 return found
-        raise CheckFailed(address=self._address, status=200)
+        raise CallFailed(address=self._address, status=200)
 
     def begin_upkeep(self, machine, wave, holder, token):
         """Order the upkeep of a machine; all that runs there ends at once.
@@ -152,8 +152,8 @@
             if answer.status == 200:
                 return json.loads(answer.body)
         except (NotSent, AnswerMissing, AnswerInvalid, ValueError) as error:
-            raise CheckFailed(address=self._address, status=0) from error
-        raise CheckFailed(address=self._address, status=answer.status)
+            raise CallFailed(address=self._address, status=0) from error
+        raise CallFailed(address=self._address, status=answer.status)
 
 
 def _upkeep_outcome(answer):
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -3,7 +3,7 @@
 import functools
 
 from papayapick.jobs.runs import RunPhase
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.events import (
     ORDER_FAILED,
     ORDERS_HELD_UP,
@@ -271,7 +271,7 @@
         except WorkerSilent:
             # A later tick sends the stop again.
             return
-        except CheckFailed as error:
+        except CallFailed as error:
             STOP_REFUSED.write(worker=link.worker, status=error.details["status"])
             return
         self.note_stop_confirmed(run)
@@ -289,7 +289,7 @@
             run.pace, run.is_pace_unconfirmed = None, True
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
-        except CheckFailed as error:
+        except CallFailed as error:
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
         PACE_SET.write(**run_fields(run), percent=percent, percent_before=run.pace)
