--- a/papayapick/routing/loads.py
+++ b/papayapick/routing/loads.py
@@ -101,7 +101,8 @@
         now = self._clock.monotonic()
         with self._lock:
             changes = self._changes_of(
-                candidate.shard, service, candidate.peer.last_heartbeat_at)
+                candidate.shard, service, candidate.peer.last_heartbeat_at
+            )
             changes.slots_taken += max(0, candidate.room)
             changes.refusing_until = now + _REFUSAL_SECONDS
 
