--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -12,7 +12,7 @@
 )
 from papayapick.journal import WorkUnknown
 from papayapick.membership import ShardUnserved
-from papayapick.routing import has_moved
+from papayapick.routing import indicates_new_owner
 from papayapick.wire import PeerRefused, PeerUnreachable
 from papayapick.wire.messages import WorkCancel, WorkQuery
 
@@ -90,7 +90,7 @@
                 if clock.monotonic() >= give_up:
                     raise
             except PeerRefused as error:
-                if not has_moved(error) or clock.monotonic() >= give_up:
+                if not indicates_new_owner(error) or clock.monotonic() >= give_up:
                     raise
             clock.wait(self._process.is_stopping, MOVED_WAIT_SECONDS)
 
--- a/papayapick/gateway/submission.py
+++ b/papayapick/gateway/submission.py
@@ -6,7 +6,7 @@
 from papayapick.clients.objects import digest_of
 from papayapick.gateway.exceptions import OwnerMissing
 from papayapick.membership import ShardUnserved
-from papayapick.routing import has_moved
+from papayapick.routing import indicates_new_owner
 from papayapick.wire import (
     PeerDisconnected,
     PeerRefused,
@@ -104,7 +104,7 @@
             except PeerRefused as error:
                 if error.refusal_code in _RELAYED_LOSSES:
                     self._lost = error
-                elif not has_moved(error):
+                elif not indicates_new_owner(error):
                     if self._lost is not None and error.outcome == _NOT_RUN:
                         # The message whose answer was lost may still be read
                         # behind this one and be taken on.
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -16,7 +16,7 @@
     GrantExpired,
     NoPlacerAnswer,
     NoRoute,
-    has_moved,
+    indicates_new_owner,
 )
 from papayapick.wire import PeerRefused
 
@@ -225,7 +225,7 @@
                 )
             except (PeerRefused, NoRoute, NoPlacerAnswer) as error:
                 is_refusal = isinstance(error, PeerRefused)
-                if is_refusal and not has_moved(error):
+                if is_refusal and not indicates_new_owner(error):
                     raise
                 if number + 1 == _SLOT_TRIES:
                     raise
--- a/papayapick/jobs/outcomes.py
+++ b/papayapick/jobs/outcomes.py
@@ -22,7 +22,7 @@
     def __init__(self, registry):
         self._registry = registry
 
-    def drop(self, run, now):
+    def drop_run(self, run, now):
         """Remove a run that did not start and can no longer start."""
         self._registry.remove_run(run)
         step = self._registry.step(run.key)
@@ -39,7 +39,7 @@
             # If only a second copy is dropped, the first run is still active.
             self._registry.requeue_task(step, run.key.index)
 
-    def end(self, key, attempt, outcome, checkpoint, worker, now):
+    def end_run(self, key, attempt, outcome, checkpoint, worker, now):
         """Handle the outcome of a run, which may be reported more than once.
 
         Parameters
--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -138,7 +138,7 @@
         self._jobs.pop(identifier, None)
         self._live.pop(identifier, None)
 
-    def begin(self, step, index, worker, now, attempt=None):
+    def begin_run(self, step, index, worker, now, attempt=None):
         """Add a run of a task whose start is about to be ordered on a worker.
 
         Parameters
@@ -172,7 +172,7 @@
         self.changed.add(step.job.identifier)
         return run
 
-    def adopt(self, report, worker, now):
+    def adopt_run(self, report, worker, now):
         """Add a run that a worker lists and that this owner did not start.
 
         Parameters
@@ -261,13 +261,13 @@
         """Return whether any task is held."""
         return bool(self._held)
 
-    def drop(self, run, now):
+    def drop_run(self, run, now):
         """Remove a run that did not start and can no longer start."""
-        self._outcomes.drop(run, now)
+        self._outcomes.drop_run(run, now)
 
-    def end(self, key, attempt, outcome, checkpoint, worker, now):
-        """Handle the outcome of a run; see ``OutcomeHandler.end``."""
-        self._outcomes.end(key, attempt, outcome, checkpoint, worker, now)
+    def end_run(self, key, attempt, outcome, checkpoint, worker, now):
+        """Handle the outcome of a run; see ``OutcomeHandler.end_run``."""
+        self._outcomes.end_run(key, attempt, outcome, checkpoint, worker, now)
 
     # The methods below are for the other modules of this package.
 
--- a/papayapick/management/asking.py
+++ b/papayapick/management/asking.py
@@ -4,7 +4,7 @@
 
 from papayapick.management.exceptions import OwnerMissing
 from papayapick.ownership import read_shard
-from papayapick.routing import has_moved
+from papayapick.routing import indicates_new_owner
 from papayapick.wire import PeerRefused, WireError
 
 __all__ = ["OwnerAsking"]
@@ -65,7 +65,7 @@
             try:
                 return self._ask_once(row, message)
             except PeerRefused as error:
-                if not has_moved(error) or self._is_over(give_up):
+                if not indicates_new_owner(error) or self._is_over(give_up):
                     raise
             except WireError:
                 if self._is_over(give_up):
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -234,7 +234,7 @@
             step.job.has_placed_task = True
             FIRST_START_SECONDS.observe(now - step.job.arrived_at)
             self.backlog.note_first_start(step.job.document.queue, now)
-        run = self._owner.book.begin(step, index, worker, now, attempt)
+        run = self._owner.book.begin_run(step, index, worker, now, attempt)
         room = self._owner.rooms.get(worker)
         room.reserve(run)
         if room.hold is not None and room.hold.step_key != step.key:
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -167,7 +167,7 @@
             step = self._owner.book.step_of(run.key)
             if step is not None:
                 step.tasks[run.key.index].avoid.add(run.worker)
-        self._owner.book.drop(run, now)
+        self._owner.book.drop_run(run, now)
 
     def note_stop_confirmed(self, run):
         """Note that a worker has taken a stop."""
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -145,7 +145,7 @@
     def _apply_end(self, link, room, end, now):
         run = room.runs.get((end.key, end.attempt))
         step = self._owner.book.step_of(end.key)
-        self._owner.book.end(
+        self._owner.book.end_run(
             end.key, end.attempt, end.outcome, end.checkpoint, link.worker, now
         )
         if run is not None:
@@ -176,7 +176,7 @@
         for found in report.runs:
             run = room.runs.get((found.key, found.attempt))
             if run is None:
-                run = self._owner.book.adopt(found, link.worker, now)
+                run = self._owner.book.adopt_run(found, link.worker, now)
                 room.reserve(run)
                 RUN_FOUND.write(
                     **run_fields(run),
@@ -209,7 +209,7 @@
             if run.ran_before(requested_at) and run.name not in listed:
                 RUN_VANISHED.write(**run_fields(run))
                 room.release(run)
-                self._owner.book.end(
+                self._owner.book.end_run(
                     run.key, run.attempt, EndOutcome.LAPSED, "", run.worker, now
                 )
 
@@ -227,7 +227,7 @@
             if confirmed is None or confirmed > requested_at or run.name in listed:
                 continue
             room.release(run)
-            self._owner.book.drop(run, now)
+            self._owner.book.drop_run(run, now)
 
     def mark_started_runs_lost(self, link):
         """Mark the runs that had started on a worker as lost, since it is gone.
@@ -257,7 +257,7 @@
             )
         for run in lost:
             room.release(run)
-            self._owner.book.end(
+            self._owner.book.end_run(
                 run.key, run.attempt, EndOutcome.LAPSED, "", link.worker, now
             )
         self._owner.orders.stop_unneeded()
--- a/papayapick/routing/__init__.py
+++ b/papayapick/routing/__init__.py
@@ -8,7 +8,7 @@
     RoutingError,
 )
 from papayapick.routing.loads import Candidate, LoadView
-from papayapick.routing.moves import has_moved
+from papayapick.routing.refusals import indicates_new_owner
 from papayapick.routing.slots import Grant, SlotClient
 
 __all__ = [
@@ -21,5 +21,5 @@
     "NoRoute",
     "RoutingError",
     "SlotClient",
-    "has_moved",
+    "indicates_new_owner",
 ]
--- a/papayapick/routing/moves.py
+++ b/papayapick/routing/refusals.py
@@ -1,6 +1,6 @@
 """Recognise refusals of placers that do not own the shard any more."""
 
-__all__ = ["has_moved"]
+__all__ = ["indicates_new_owner"]
 
 # Beginnings of the codes with which a placer refuses requests for a shard that it does
 # not serve at present. Another owner may serve them.
@@ -12,7 +12,7 @@
 )
 
 
-def has_moved(error):
+def indicates_new_owner(error):
     """Return whether a refusal means that another placer may own the shard.
 
     Parameters
--- a/tests/entry/test_removed_queue.py
+++ b/tests/entry/test_removed_queue.py
@@ -40,10 +40,10 @@
     book.add(stored, host.queue_of(stored), 0.0)
     for attempt in (1, 2):
         (step,) = book.waiting_steps()
-        run = book.begin(step, 0, "w1", 0.0)
+        run = book.begin_run(step, 0, "w1", 0.0)
         book.note_started(run)
         key = TaskKey(ID, 0, 0, 0)
-        book.end(key, attempt, EndOutcome.FAILED, "", "w1", 1.0)
+        book.end_run(key, attempt, EndOutcome.FAILED, "", "w1", 1.0)
         assert book.get(ID).status not in JobStatus.FINAL
 
 
--- a/tests/jobs/test_registry.py
+++ b/tests/jobs/test_registry.py
@@ -37,12 +37,12 @@
     runs = []
     for step in registry.waiting_steps():
         for index in sorted(step.waiting):
-            runs.append(registry.begin(step, index, worker, 1.0, attempt))
+            runs.append(registry.begin_run(step, index, worker, 1.0, attempt))
     return runs
 
 
 def _end(registry, run, outcome, checkpoint=""):
-    registry.end(run.key, run.attempt, outcome, checkpoint, run.worker, 2.0)
+    registry.end_run(run.key, run.attempt, outcome, checkpoint, run.worker, 2.0)
 
 
 def _waiting(registry):
@@ -125,7 +125,7 @@
 def test_cancelled_job_stops_its_runs_and_starts_no_more(registry):
     job = registry.add(_document(_step(2), _step(after=[0])), QUEUE, 0.0)
     step = registry.waiting_steps()[0]
-    run = registry.begin(step, 0, "w1", 1.0)
+    run = registry.begin_run(step, 0, "w1", 1.0)
     assert registry.cancel(ID, 2.0)
     assert registry.to_stop == [run]
     assert _waiting(registry) == set()
@@ -189,7 +189,7 @@
     for run in runs:
         _end(registry, run, "lapsed")
     again = _begin_all(registry, worker="w2", attempt=2)
-    registry.end(runs[0].key, 1, "done", "", "w1", 3.0)
+    registry.end_run(runs[0].key, 1, "done", "", "w1", 3.0)
     assert job.status == JobStatus.COMPLETED
     assert set(registry.to_stop) >= set(again)
 
@@ -208,7 +208,7 @@
         _end(registry, run, "lapsed")
     _begin_all(registry, worker="w2", attempt=2)
     registry.to_stop.clear()
-    registry.end(runs[0].key, 1, outcome, "", "w1", 3.0)
+    registry.end_run(runs[0].key, 1, outcome, "", "w1", 3.0)
     assert registry.to_stop == []
     assert _waiting(registry) == set()
     failures = job.occurrences[0][0].tasks[0].failures
@@ -222,7 +222,7 @@
     for run in runs:
         _end(registry, run, "lapsed")
     first, second = _begin_all(registry, worker="w2", attempt=2)
-    late = registry.adopt(RunReport(runs[0].key, 1), "w1", 2.0)
+    late = registry.adopt_run(RunReport(runs[0].key, 1), "w1", 2.0)
     assert late in registry.to_stop
     _end(registry, first, "failed")
     _end(registry, second, "broken")
@@ -296,7 +296,7 @@
     task again before it knows that the run has ended.
     """
     job = registry.add(_document(_step(2)), QUEUE, 0.0)
-    registry.begin(registry.waiting_steps()[0], 0, "w1", 1.0)
+    registry.begin_run(registry.waiting_steps()[0], 0, "w1", 1.0)
     successor, _ = _restored(job)
     successor.hold_tasks(lambda task: bool(task.place))
     assert _waiting(successor) == {(0, 0, 1)}
@@ -319,7 +319,7 @@
 
 
 def test_run_of_an_unknown_job_is_stopped(registry):
-    run = registry.adopt(RunReport(TaskKey("0" * 16, 0, 0, 0), 1), "w1", 2.0)
+    run = registry.adopt_run(RunReport(TaskKey("0" * 16, 0, 0, 0), 1), "w1", 2.0)
     assert registry.to_stop == [run]
 
 
@@ -327,7 +327,7 @@
     """Guard against two runs of a task after a start order was carried out late."""
     registry.add(_document(_step()), QUEUE, 0.0)
     _begin_all(registry)
-    late = registry.adopt(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
+    late = registry.adopt_run(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
     assert registry.to_stop == [late]
 
 
@@ -345,7 +345,7 @@
     """
     job = registry.add(_document(_step()), QUEUE, 0.0)
     (run,) = _begin_all(registry)
-    late = registry.adopt(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
+    late = registry.adopt_run(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
     assert _places(job) == {0: "w1"}
     _end(registry, late, "stopped")
     assert _places(job) == {0: "w1"}
@@ -356,7 +356,7 @@
 def test_late_run_is_recorded_once_it_is_the_only_one(registry):
     job = registry.add(_document(_step()), QUEUE, 0.0)
     (run,) = _begin_all(registry)
-    registry.adopt(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
+    registry.adopt_run(RunReport(TaskKey(ID, 0, 0, 0), 9), "w2", 2.0)
     _end(registry, run, "failed")
     assert _places(job) == {0: "w2"}
 
@@ -389,7 +389,7 @@
     runs = _begin_all(registry, attempt=1)
     for run in runs:
         _end(registry, run, "lapsed")
-    late = registry.adopt(RunReport(runs[0].key, 1), "w1", 2.0)
+    late = registry.adopt_run(RunReport(runs[0].key, 1), "w1", 2.0)
     assert late in registry.to_stop
     _end(registry, late, "stopped")
     assert _waiting(registry) == {(0, 0, 0), (0, 0, 1)}
@@ -410,7 +410,7 @@
     would be taken for the one that is already counted.
     """
     job = registry.add(_document(_step()), QUEUE, 0.0)
-    registry.end(TaskKey(ID, 0, 0, 0), 3, "failed", "", "w1", 1.0)
+    registry.end_run(TaskKey(ID, 0, 0, 0), 3, "failed", "", "w1", 1.0)
     (run,) = _begin_all(registry)
     assert run.attempt == 4
     _end(registry, run, "failed")
@@ -426,10 +426,10 @@
     registry.add(_document(_step(2, allows_copies=True)), QUEUE, 0.0)
     first, _ = _begin_all(registry)
     (step,) = registry.get(ID).steps()
-    copy = registry.begin(step, 0, "w2", 1.5)
+    copy = registry.begin_run(step, 0, "w2", 1.5)
     if is_first_done:
         _end(registry, first, "done")
-    registry.drop(copy, 3.0)
+    registry.drop_run(copy, 3.0)
     assert _waiting(registry) == set()
 
 
@@ -440,5 +440,5 @@
     registry.add(_document(_step(2, is_gang=True), _step(after=[0])), QUEUE, 0.0)
     first, unsure = _begin_all(registry, attempt=1)
     _end(registry, first, "done")
-    registry.drop(unsure, 3.0)
+    registry.drop_run(unsure, 3.0)
     assert _waiting(registry) == {(0, 1, 0)}
--- a/tests/placement/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -84,7 +84,7 @@
         if not room.has_room(demand):
             return
         state = self._add(Step(1, demand), 0)
-        run = self._book.begin(state, 0, room.worker, 0.0)
+        run = self._book.begin_run(state, 0, room.worker, 0.0)
         run.phase = self._draw.choice((RunPhase.RUNNING,) * 4 + (RunPhase.STOPPING,))
         room.reserve(run)
         self.priorities[run.name] = self._draw.choice((None, *PRIORITIES))
--- a/tests/placement/test_rooms.py
+++ b/tests/placement/test_rooms.py
@@ -45,7 +45,7 @@
 
 def _place(book, state, rooms, allowed=None):
     def begin(step, index, worker, attempt):
-        run = book.begin(step, index, worker, 1.0, attempt)
+        run = book.begin_run(step, index, worker, 1.0, attempt)
         rooms.get(worker).reserve(run)
         return run
 
@@ -131,10 +131,10 @@
     room = rooms.get("w1")
     lasting = Step(1, Amounts(1000, 100), is_lasting=True, tail_limit_seconds=0.1)
     book, state = _waiting(lasting)
-    serving = book.begin(state, 0, "w1", 0.0)
+    serving = book.begin_run(state, 0, "w1", 0.0)
     room.reserve(serving)
     book, state = _waiting(Step(1, Amounts(1000, 100), is_filler=True), "1" * 16)
-    filler = book.begin(state, 0, "w1", 0.0)
+    filler = book.begin_run(state, 0, "w1", 0.0)
     room.reserve(filler)
     pacer = Pacer()
     serving.percent, serving.measurement = 100, 150.0
@@ -160,7 +160,7 @@
     book, state = _waiting(step, "2" * 16, deferred)
     runs = []
     for index in range(tasks):
-        run = book.begin(state, index, worker, 0.0)
+        run = book.begin_run(state, index, worker, 0.0)
         run.phase = RunPhase.RUNNING
         rooms.get(worker).reserve(run)
         runs.append(run)
@@ -210,10 +210,10 @@
         run.note_sent(1.0)
         run.phase = RunPhase.RUNNING
     for run in runs[:2]:
-        book.end(run.key, run.attempt, "done", "", run.worker, 1.8)
+        book.end_run(run.key, run.attempt, "done", "", run.worker, 1.8)
     assert stragglers(state, 2.0) == []
     assert stragglers(state, 4.0) == [runs[2].key.index]
-    book.begin(state, runs[2].key.index, "w2", 4.0)
+    book.begin_run(state, runs[2].key.index, "w2", 4.0)
     assert stragglers(state, 9.0) == []
 
 
@@ -226,7 +226,7 @@
 
 
 def _fail_once(book, state, run):
-    book.end(run.key, run.attempt, "failed", "", run.worker, 2.0)
+    book.end_run(run.key, run.attempt, "failed", "", run.worker, 2.0)
 
 
 def test_task_waits_rather_than_failing_again_on_the_same_worker(rooms):
@@ -308,7 +308,7 @@
     for run in (first, second):
         rooms.get(run.worker).release(run)
     _fail_once(book, state, first)
-    book.drop(second, 2.0)
+    book.drop_run(second, 2.0)
     other = "w2" if first.worker == "w1" else "w1"
     _fill_worker(rooms, other, 4)
     (again,) = _place(book, state, rooms)
--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -130,11 +130,11 @@
     document = JobDocument(identifier, "q", "pool", "t", [step], 0.0)
     job = owner.book.add(document, QUEUE, 0.0)
     (state,) = [s for s in owner.book.waiting_steps() if s.job is job]
-    return job, [owner.book.begin(state, index, "w", 0.0) for index in range(tasks)]
+    return job, [owner.book.begin_run(state, index, "w", 0.0) for index in range(tasks)]
 
 
 def _done(owner, run):
-    owner.book.end(run.key, run.attempt, "done", "", "w", 0.0)
+    owner.book.end_run(run.key, run.attempt, "done", "", "w", 0.0)
     owner.link.processed += 1
 
 
