--- a/tests/jobs/test_registry.py
+++ b/tests/jobs/test_registry.py
@@ -311,7 +311,7 @@
     _begin_all(registry)
     successor, again = _restored(job)
     successor.hold_tasks(lambda task: bool(task.place))
-    run = successor.adopt(RunReport(TaskKey(ID, 0, 0, 0), 1), "w1", 2.0)
+    run = successor.adopt_run(RunReport(TaskKey(ID, 0, 0, 0), 1), "w1", 2.0)
     successor.release_tasks(lambda task: True, 3.0)
     assert run.phase == RunPhase.RUNNING
     assert _waiting(successor) == set()
@@ -370,7 +370,7 @@
     _begin_all(registry, attempt=1)
     successor, _ = _restored(job)
     successor.hold_tasks(lambda task: bool(task.place))
-    run = successor.adopt(RunReport(TaskKey(ID, 0, 0, 0), 1), "w1", 2.0)
+    run = successor.adopt_run(RunReport(TaskKey(ID, 0, 0, 0), 1), "w1", 2.0)
     successor.release_all_tasks(3.0)
     assert successor.to_stop == [run]
     assert _waiting(successor) == set()
