--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -43,9 +43,9 @@
     """Track the capacity, reservations and free amounts of the hosts of one shard.
 
     A host is closed until it has been fenced and its inventory has been read; a closed
-    host counts as full. Two indexes hold the open hosts, one for work that needs
-    accelerators and one for work that needs none. The second shows a host without the
-    amounts that are reserved for its free accelerators.
+    host counts as full. Two indexes hold the open hosts: one for work that needs
+    accelerators and one for work that needs only processors and memory. The second
+    shows a host without the amounts that are reserved for its free accelerators.
 
     Several threads of a placer use one ledger. Each change holds the lock, and so must
     a choice with its reservation: two choices of the same room would overfill a host.
@@ -58,11 +58,11 @@
     """
 
     __slots__ = (
-        "_with_accelerators",
+        "_accelerator_index",
         "_hosts",
         "_reserve",
         "_lock",
-        "_without_accelerators",
+        "_processor_index",
         "_reservations",
         "_total_shown",
         "_version",
@@ -71,8 +71,8 @@
     def __init__(self, reserved_percent=RESERVED_PERCENT):
         self._hosts = {}
         self._reservations = {}
-        self._without_accelerators = RoomIndex()
-        self._with_accelerators = RoomIndex()
+        self._processor_index = RoomIndex()
+        self._accelerator_index = RoomIndex()
         self._reserve = AcceleratorReserve(reserved_percent)
         self._total_shown = _ZERO
         self._version = 0
@@ -245,12 +245,10 @@
         """
         with self._lock:
             if self._reserve.may_use_reserve(demand):
-                name = self._with_accelerators.find(demand)
+                name = self._accelerator_index.find(demand)
                 if name is not None:
                     return name
-            return (
-                None if demand.accelerators else self._without_accelerators.find(demand)
-            )
+            return None if demand.accelerators else self._processor_index.find(demand)
 
     def usable(self, name, free, demand):
         """Return the part of a host's free amounts that a demand may use.
@@ -329,8 +327,8 @@
         self._update_index(host)
 
     def _update_index(self, host):
-        self._without_accelerators.discard(host.name)
-        self._with_accelerators.discard(host.name)
+        self._processor_index.discard(host.name)
+        self._accelerator_index.discard(host.name)
         shown = host.free - host.held
         # An overfilled host is in no index: even an empty demand must not go there.
         accepts_work = host.is_open and not host.is_quarantined
@@ -340,9 +338,9 @@
         if not is_shown:
             return
         if not host.capacity.accelerators:
-            self._without_accelerators.add(host.name, shown, _WITHOUT_ACCELERATORS)
+            self._processor_index.add(host.name, shown, _WITHOUT_ACCELERATORS)
             return
-        self._with_accelerators.add(host.name, shown)
+        self._accelerator_index.add(host.name, shown)
         unreserved = shown - self._reserve.reserved_amounts(host.capacity, shown)
         if _ZERO.fits_in(unreserved):
-            self._without_accelerators.add(host.name, unreserved, shown.accelerators)
+            self._processor_index.add(host.name, unreserved, shown.accelerators)
--- a/papayapick/ledger/rooms.py
+++ b/papayapick/ledger/rooms.py
@@ -8,6 +8,7 @@
 _LEAF_COUNT = 4096
 # Most hosts to examine in a leaf whose hosts may or may not have enough processors.
 _SCAN_LIMIT = 32
+# Largest free memory below a node without hosts: less than any demand.
 _EMPTY = -1
 
 
--- a/tests/ledger/test_hosts.py
+++ b/tests/ledger/test_hosts.py
@@ -33,7 +33,7 @@
 )
 
 
-class Account:
+class UsageModel:
     """Model of the ledger: compute the usage of each host from the steps alone."""
 
     def __init__(self):
@@ -41,8 +41,8 @@
         self.tasks = {}
 
     def used(self, name):
-        held = [demand for host, demand in self.tasks.values() if host == name]
-        return sum(held, Amounts())
+        demands = [demand for host, demand in self.tasks.values() if host == name]
+        return sum(demands, Amounts())
 
     def apply(self, step, arguments):
         if step == "add":
@@ -50,9 +50,9 @@
         elif step == "remove":
             del self.capacities[arguments[0]]
             self.tasks = {
-                task: held
-                for task, held in self.tasks.items()
-                if held[0] != arguments[0]
+                task: reservation
+                for task, reservation in self.tasks.items()
+                if reservation[0] != arguments[0]
             }
         elif step == "release":
             del self.tasks[arguments[0]]
@@ -70,20 +70,20 @@
     one of these changes is miscounted, the ledger shows room that does not exist, and
     the next reservation overfills the host.
     """
-    ledger, account = HostLedger(), Account()
+    ledger, model = HostLedger(), UsageModel()
     for step, *arguments in steps:
-        before = {name: account.used(name) for name in account.capacities}
-        is_new = len(arguments) > 1 and arguments[1] not in account.tasks
+        before = {name: model.used(name) for name in model.capacities}
+        is_new = len(arguments) > 1 and arguments[1] not in model.tasks
         try:
             getattr(ledger, step)(*arguments)
         except LedgerError:
             continue
-        account.apply(step, arguments)
+        model.apply(step, arguments)
         if step == "reserve" and is_new:
             name, _, demand = arguments
-            assert (before[name] + demand).fits_in(account.capacities[name])
+            assert (before[name] + demand).fits_in(model.capacities[name])
     for name in ledger.open_hosts():
-        assert ledger.free(name) == account.capacities[name] - account.used(name)
+        assert ledger.free(name) == model.capacities[name] - model.used(name)
     found = ledger.best_fit(wanted)
     fitting = [
         name for name in ledger.open_hosts() if wanted.fits_in(ledger.free(name))
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -28,11 +28,11 @@
     def __init__(self, shard):
         self.shard = shard
         self.script = "grant"
-        self.asked = []
-        self.sent = []
+        self.requested_waits = []
+        self.releases = []
 
-    def call(self, wanted, traceparent):
-        self.asked.append(wanted.wait_milliseconds)
+    def call(self, request, traceparent):
+        self.requested_waits.append(request.wait_milliseconds)
         answer = Future()
         if self.script == "unreachable":
             raise PeerUnreachable(address=self.shard)
@@ -41,7 +41,7 @@
         elif self.script == "late":
             self.late = answer
         elif self.script == "grant" or (
-            self.script == "waits" and wanted.wait_milliseconds
+            self.script == "waits" and request.wait_milliseconds
         ):
             answer.set_result(
                 SlotGrant(grant_id=1, shard=self.shard, epoch=1, instance="i", url="u")
@@ -59,25 +59,25 @@
         return answer
 
     def tell(self, release):
-        self.sent.append(release)
+        self.releases.append(release)
 
 
 class FakePeers:
     def __init__(self, rooms):
         self.clients = {shard: FakeClient(shard) for shard in rooms}
-        self.found = {}
+        self.owners = {}
         for shard, (free, waiting) in rooms.items():
             entry = SimpleNamespace(name=f"placer-{shard}")
             peer = Peer(entry, self.clients[shard], 0.0)
             load = ServiceLoad(service="counts", free_slots=free, waiting=waiting)
             summary = ShardSummary(shard=shard, epoch=1, loads=[load])
-            self.found[shard] = (peer, summary)
+            self.owners[shard] = (peer, summary)
 
     def serving(self):
-        return self.found
+        return self.owners
 
 
-class Fixture:
+class ClientSetup:
     def __init__(self, rooms, across_link=True):
         self.clock = ManualClock()
         self.peers = FakePeers(rooms)
@@ -97,8 +97,11 @@
     def acquire(self, wait=1.0):
         return self.client.acquire(self.policy, "r1", wait)
 
-    def asked(self):
-        return {shard: found.asked for shard, found in self.peers.clients.items()}
+    def requested_waits(self):
+        return {
+            shard: client.requested_waits
+            for shard, client in self.peers.clients.items()
+        }
 
 
 ROOM = (8, 0)
@@ -128,18 +131,18 @@
     [row[1:] for row in TIERS],
     ids=[row[0] for row in TIERS],
 )
-def test_next_tier_is_asked_at_once(scripts, across_link, expected):
+def test_next_tier_is_tried_within_the_same_attempt(scripts, across_link, expected):
     """Guard against failed calls while a zone or the region has failed or is full.
 
     Heartbeats do not show this yet. The caller must get the nearest remaining slot
     within the same attempt, and no placer may get more than two requests.
     """
-    fixture = Fixture({"a.0": ROOM, "b.0": ROOM, "c.0": ROOM}, across_link)
+    setup = ClientSetup({"a.0": ROOM, "b.0": ROOM, "c.0": ROOM}, across_link)
     for shard, script in scripts.items():
-        fixture[shard].script = script
-    assert fixture.acquire().granted.shard == expected
-    assert all(len(asked) <= 2 for asked in fixture.asked().values())
-    assert fixture.clock.monotonic() == 0
+        setup[shard].script = script
+    assert setup.acquire().granted.shard == expected
+    assert all(len(waits) <= 2 for waits in setup.requested_waits().values())
+    assert setup.clock.monotonic() == 0
 
 
 def test_full_queue_sends_the_request_to_the_next_shard():
@@ -147,20 +150,20 @@
 
     Every slot is in use, and the queue of the own zone is full.
     """
-    fixture = Fixture({"a.0": (0, 300), "b.0": (0, 3)})
-    fixture["a.0"].script = "full"
-    fixture["b.0"].script = "waits"
-    assert fixture.acquire().granted.shard == "b.0"
-    assert fixture["b.0"].asked == [1000]
+    setup = ClientSetup({"a.0": (0, 300), "b.0": (0, 3)})
+    setup["a.0"].script = "full"
+    setup["b.0"].script = "waits"
+    assert setup.acquire().granted.shard == "b.0"
+    assert setup["b.0"].requested_waits == [1000]
 
 
 def test_refusal_of_the_last_shard_keeps_its_retry_after():
-    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
-    fixture["a.0"].script = fixture["b.0"].script = "full"
+    setup = ClientSetup({"a.0": ROOM, "b.0": ROOM})
+    setup["a.0"].script = setup["b.0"].script = "full"
     with pytest.raises(PeerRefused) as caught:
-        fixture.acquire()
+        setup.acquire()
     assert caught.value.retry_after == 0.4
-    assert sum(map(len, fixture.asked().values())) <= 4
+    assert sum(map(len, setup.requested_waits().values())) <= 4
 
 
 def test_unreachable_placer_gets_one_request_per_second():
@@ -169,18 +172,18 @@
     Only one request fails. For the next second the others go to other placers, and
     then a single request tries again.
     """
-    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
-    fixture["a.0"].script = "unreachable"
+    setup = ClientSetup({"a.0": ROOM, "b.0": ROOM})
+    setup["a.0"].script = "unreachable"
     for _ in range(10):
-        fixture.acquire()
-    assert len(fixture["a.0"].asked) == 1
-    fixture.clock.advance(1.1)
-    fixture.acquire()
-    fixture.acquire()
-    assert len(fixture["a.0"].asked) == 2
-    fixture["a.0"].script = "grant"
-    fixture.clock.advance(1.1)
-    assert [fixture.acquire().granted.shard for _ in range(3)] == ["a.0"] * 3
+        setup.acquire()
+    assert len(setup["a.0"].requested_waits) == 1
+    setup.clock.advance(1.1)
+    setup.acquire()
+    setup.acquire()
+    assert len(setup["a.0"].requested_waits) == 2
+    setup["a.0"].script = "grant"
+    setup.clock.advance(1.1)
+    assert [setup.acquire().granted.shard for _ in range(3)] == ["a.0"] * 3
 
 
 def test_one_thread_at_a_time_tries_an_unreachable_placer():
@@ -193,10 +196,10 @@
 
 
 def test_no_placer_answer_reports_that_the_work_did_not_run():
-    fixture = Fixture({"a.0": ROOM})
-    fixture["a.0"].script = "broken"
+    setup = ClientSetup({"a.0": ROOM})
+    setup["a.0"].script = "broken"
     with pytest.raises(NoPlacerAnswer) as caught:
-        fixture.acquire()
+        setup.acquire()
     assert caught.value.outcome == "not_run"
 
 
@@ -206,21 +209,21 @@
     Two shards had room in the last heartbeat, one of them slightly more. Without a
     correction, all calls until the next heartbeat would go to that one.
     """
-    fixture = Fixture({"a.0": (4, 0), "a.1": (3, 0), "b.0": (8, 0)})
-    shards = [fixture.acquire().granted.shard for _ in range(9)]
+    setup = ClientSetup({"a.0": (4, 0), "a.1": (3, 0), "b.0": (8, 0)})
+    shards = [setup.acquire().granted.shard for _ in range(9)]
     assert shards.count("a.0") == 4
     assert shards.count("a.1") == 3
     assert shards.count("b.0") == 2
-    for peer, _ in fixture.peers.found.values():
+    for peer, _ in setup.peers.owners.values():
         peer.last_heard = 1.0
-    assert fixture.acquire().granted.shard in ("a.0", "a.1")
+    assert setup.acquire().granted.shard in ("a.0", "a.1")
 
 
 def test_own_releases_count_until_the_next_heartbeat():
-    fixture = Fixture({"a.0": (1, 0), "b.0": (8, 0)})
-    first = fixture.acquire()
-    fixture.client.release(first, "done", 0.1)
-    assert fixture.acquire().granted.shard == "a.0"
+    setup = ClientSetup({"a.0": (1, 0), "b.0": (8, 0)})
+    first = setup.acquire()
+    setup.client.release(first, "done", 0.1)
+    assert setup.acquire().granted.shard == "a.0"
 
 
 def test_stale_slot_sends_the_next_request_elsewhere():
@@ -229,13 +232,13 @@
     It still grants slots, which the servers refuse. Until a heartbeat of the new owner
     arrives, each further attempt there would fail too.
     """
-    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
-    first = fixture.acquire()
-    fixture.client.release(first, "stale", 0.0)
-    assert [fixture.acquire().granted.shard for _ in range(3)] == ["b.0"] * 3
-    for peer, _ in fixture.peers.found.values():
+    setup = ClientSetup({"a.0": ROOM, "b.0": ROOM})
+    first = setup.acquire()
+    setup.client.release(first, "stale", 0.0)
+    assert [setup.acquire().granted.shard for _ in range(3)] == ["b.0"] * 3
+    for peer, _ in setup.peers.owners.values():
         peer.last_heard = 1.0
-    assert fixture.acquire().granted.shard == "a.0"
+    assert setup.acquire().granted.shard == "a.0"
 
 
 def test_slot_that_is_granted_late_is_released(monkeypatch):
@@ -244,14 +247,14 @@
     A paused placer grants it after the request of the gateway has timed out.
     """
     monkeypatch.setattr(slots_module, "_ANSWER_SECONDS", 0.0)
-    fixture = Fixture({"a.0": ROOM, "b.0": ROOM})
-    fixture["a.0"].script = "late"
-    assert fixture.acquire().granted.shard == "b.0"
+    setup = ClientSetup({"a.0": ROOM, "b.0": ROOM})
+    setup["a.0"].script = "late"
+    assert setup.acquire().granted.shard == "b.0"
     granted = SlotGrant(grant_id=7, shard="a.0", epoch=1, instance="i", url="u")
-    fixture["a.0"].late.set_result(granted)
-    assert [found.outcome for found in fixture["a.0"].sent] == ["unused"]
+    setup["a.0"].late.set_result(granted)
+    assert [release.outcome for release in setup["a.0"].releases] == ["unused"]
 
 
 def test_service_without_a_shard_has_no_route():
     with pytest.raises(NoRoute):
-        Fixture({}).acquire()
+        ClientSetup({}).acquire()
