--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -177,7 +177,7 @@
             step = self._owner.book.step_of(run.key)
             if step is not None:
                 step.tasks[run.key.index].avoid.add(run.worker)
-        self._owner.book.drop(run, now)
+        self._owner.book.drop_run(run, now)
 
     def note_stop_confirmed(self, run):
         """Record that a worker has confirmed a stop."""
