--- a/papayapick/gateway/__init__.py
+++ b/papayapick/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The process that callers reach: checks, admits, calls and relays."""
+"""The gateway, which validates and admits callers' requests and returns answers."""
 
 from papayapick.gateway.exceptions import GatewayError, RequestInvalid
 
--- a/papayapick/gateway/admission.py
+++ b/papayapick/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Check callers' requests before anything else sees them."""
+"""Validate callers' requests before they are processed."""
 
 import hashlib
 import json
@@ -23,13 +23,13 @@
 
 
 class AdmittedRequest:
-    """Hold a checked request.
+    """Hold a validated request.
 
     Parameters
     ----------
     request_id : str
     shard : str
-        That journals it; empty for work that is not journaled.
+        Shard that journals the request; empty for work that is not journaled.
     name : str
     policy : ServicePolicy or JobPolicy
     caller : str
@@ -69,10 +69,10 @@
 
 
 def shard_for_key(bundle, caller, name, key):
-    """Return the shard that journals a key, the same through every gateway.
+    """Return the shard that journals a key, which is the same in every gateway.
 
-    Shards of the store's region are taken, so that journaling does not cross
-    the link between regions.
+    Only shards of the store's region are selected, so that journal writes do not
+    cross the link between regions.
     """
     zones = bundle.zones()
     shards = [
@@ -90,15 +90,15 @@
 
 
 def admit(environ, bundle, body_limit):
-    """Check one request to run work.
+    """Validate one request to run work.
 
     Parameters
     ----------
     environ : dict
-        Of WSGI.
+        WSGI environment.
     bundle : Bundle
     body_limit : int
-        Bytes.
+        Maximum size of the body in bytes.
 
     Returns
     -------
@@ -107,13 +107,15 @@
     Raises
     ------
     GatewayError
-        Nothing ran.
+        The request is invalid; nothing was run.
     """
     found = _read_body(environ, body_limit)
     caller = _header(environ, "HTTP_CALLER", _NAME_LIMIT) or _ANONYMOUS
     key = _header(environ, "HTTP_IDEMPOTENCY_KEY", _KEY_LIMIT)
     if ("service" in found) == ("job" in found):
-        raise RequestInvalid(place="body", reason="name one service or one job")
+        raise RequestInvalid(
+            place="body", reason="must name exactly one service or one job"
+        )
     if "job" in found:
         return _admit_job(environ, bundle, found, caller, key)
     return _admit_service(environ, bundle, found, caller, key)
@@ -135,7 +137,7 @@
     policy = _policy(bundle.jobs, name, key)
     members = found.get("members", 1)
     if not isinstance(members, int) or isinstance(members, bool) or members < 1:
-        raise RequestInvalid(place="members", reason="a whole number from 1")
+        raise RequestInvalid(place="members", reason="must be a positive integer")
     if members > policy.members_limit:
         raise TooManyMembers(members=members, limit=policy.members_limit)
     job = {
@@ -152,7 +154,7 @@
 
 
 def _policy(policies, name, key):
-    """Return the policy of a name; work that must not run twice needs a key."""
+    """Return the policy of a name; work that is not repeatable requires a key."""
     policy = policies.get(name)
     if policy is None:
         raise ServiceNotInBundle(name=name)
@@ -171,22 +173,24 @@
     try:
         size = int(environ.get("CONTENT_LENGTH") or 0)
     except ValueError as error:
-        raise RequestInvalid(place="Content-Length", reason="a number") from error
+        raise RequestInvalid(
+            place="Content-Length", reason="must be an integer"
+        ) from error
     if size > body_limit:
         raise BodyTooLarge(size=size, limit=body_limit)
     try:
         found = json.loads(environ["wsgi.input"].read(size))
     except (ValueError, RecursionError) as error:
-        raise RequestInvalid(place="body", reason="it is not JSON") from error
+        raise RequestInvalid(place="body", reason="must be valid JSON") from error
     if not isinstance(found, dict):
-        raise RequestInvalid(place="body", reason="it is no JSON object")
+        raise RequestInvalid(place="body", reason="must be a JSON object")
     return found
 
 
 def _name(found, field):
     name = found[field]
     if not isinstance(name, str) or not 0 < len(name) <= _NAME_LIMIT:
-        raise RequestInvalid(place=field, reason="a name of up to 64 characters")
+        raise RequestInvalid(place=field, reason="must be 1 to 64 characters long")
     return name
 
 
@@ -195,10 +199,10 @@
     for field in _DEMANDS:
         amount = found.get(field, 0)
         if not isinstance(amount, int) or isinstance(amount, bool) or amount < 0:
-            raise RequestInvalid(place=field, reason="a whole number from 0")
+            raise RequestInvalid(place=field, reason="must be a non-negative integer")
         amounts[field] = amount
     if amounts["processors"] == 0:
-        raise RequestInvalid(place="processors", reason="at least 1 millicore")
+        raise RequestInvalid(place="processors", reason="must be at least 1 millicore")
     return Amounts.from_mapping(amounts).as_mapping()
 
 
@@ -206,7 +210,8 @@
     value = environ.get(name, "")
     if len(value) > limit or not value.isprintable():
         raise RequestInvalid(
-            place=name.removeprefix("HTTP_"), reason=f"up to {limit} characters"
+            place=name.removeprefix("HTTP_"),
+            reason=f"must be at most {limit} printable characters",
         )
     return value
 
@@ -218,9 +223,13 @@
     try:
         seconds = float(given)
     except ValueError as error:
-        raise RequestInvalid(place="Request-Timeout", reason="seconds") from error
+        raise RequestInvalid(
+            place="Request-Timeout", reason="must be a number of seconds"
+        ) from error
     if seconds != seconds:
-        raise RequestInvalid(place="Request-Timeout", reason="seconds")
+        raise RequestInvalid(
+            place="Request-Timeout", reason="must be a number of seconds"
+        )
     if seconds <= 0:
         raise DeadlinePast()
     return min(seconds, longest)
--- a/papayapick/gateway/application.py
+++ b/papayapick/gateway/application.py
@@ -1,4 +1,4 @@
-"""Answer callers over HTTP as a WSGI application."""
+"""Serve callers over HTTP as a WSGI application."""
 
 import http.client
 import threading
@@ -58,11 +58,11 @@
         return self._in_flight
 
     def is_ready(self):
-        """Return whether the balancer may send callers here."""
+        """Return whether the load balancer may send requests to this gateway."""
         return bool(self._process.watcher.sequence) and not self._process.is_draining
 
     def __call__(self, environ, start_response):
-        """Answer one request as WSGI demands."""
+        """Answer one WSGI request."""
         found = health_answer(environ["PATH_INFO"], self._process, self.is_ready)
         if found is not None:
             status, kind, body = found
@@ -79,7 +79,7 @@
         return self._send(start_response, _status_line(answer), answer)
 
     def _refuse(self, start_response):
-        # Neither span nor access line: a flood must cost little to refuse.
+        # No span and no access log entry: refusing excess requests must be cheap.
         spread = 1 + self._process.generator.random()
         error = GatewayFull(retry_after=_FULL_RETRY_SECONDS * spread)
         self._process.metrics.refusals.labels(error.code).inc()
@@ -147,17 +147,17 @@
         return answer
 
     def _deduct_queue_time(self, environ, admitted):
-        """Take the wait for a thread off the time that the caller allows."""
+        """Subtract the wait for a thread from the request's timeout."""
         now = self._process.clock.monotonic()
         admitted.timeout -= now - arrived_at(environ, now)
         if admitted.timeout <= 0:
             raise DeadlinePast()
 
     def _confirm_bundle(self):
-        """Look at the bundle's head again after a pause.
+        """Read the bundle's head again after a pause of the process.
 
-        A process frozen through a roll would otherwise admit work under the
-        bundle that was replaced.
+        A process that was paused during a roll would otherwise admit work under
+        the replaced bundle.
         """
         watcher = self._process.watcher
         if not watcher.is_confirmed:
@@ -181,9 +181,9 @@
 
 
 def _fallback_outcome(error):
-    """Return what became of work whose error does not say it.
+    """Return the outcome of work whose error does not state it.
 
-    A broken or silent connection to a placer leaves submitted work open.
+    After a lost connection or a timeout the placer may have accepted the work.
     """
     if isinstance(error, (PeerDisconnected, PeerTimeout)):
         return _UNKNOWN
--- a/papayapick/gateway/dispatcher.py
+++ b/papayapick/gateway/dispatcher.py
@@ -1,27 +1,27 @@
-"""Bound the requests that wait for a thread of the gateway."""
+"""Limit the number of requests that wait for a thread of the gateway."""
 
 from waitress.task import ThreadedTaskDispatcher
 
 __all__ = ["BoundedDispatcher", "arrived_at", "is_refused"]
 
-# In the place where waitress keeps a request's headers; what a caller sends under
-# these names is overwritten or removed.
+# Stored among the headers that waitress parsed from the request. Headers of these
+# names sent by a caller are overwritten or removed.
 _ARRIVED = "PAPAYAPICK_ARRIVED"
 _REFUSED = "PAPAYAPICK_REFUSED"
 
 
 class BoundedDispatcher(ThreadedTaskDispatcher):
-    """Hand requests to threads, and those over a limit to one that refuses.
+    """Dispatch requests to threads, and excess requests to a thread that refuses.
 
-    Without a limit the requests of a flood wait unseen until their deadlines are
-    over, are served all the same, and so keep out those that still could be. A
-    thread of its own answers at once what is over the limit: the others may all
-    be waiting for slots.
+    Without a limit, requests of an overload wait in the queue until their
+    deadlines expire. They are then served nevertheless and delay requests that
+    could still be answered in time. Excess requests are refused immediately on a
+    separate thread, because all others may be waiting for slots.
 
     Parameters
     ----------
     waiting_limit : int
-        Most requests that wait for a thread.
+        Maximum number of requests that wait for a thread.
     clock : Clock
     """
 
@@ -32,12 +32,12 @@
         self._refusing = ThreadedTaskDispatcher()
 
     def set_thread_count(self, count):
-        """Start or end threads, and with them the one that refuses."""
+        """Start or stop the threads, including the one that refuses requests."""
         super().set_thread_count(count)
         self._refusing.set_thread_count(1 if count else 0)
 
     def add_task(self, task):
-        """Queue a channel with a request, or have the request refused."""
+        """Queue a channel whose request is to be served, or refused over the limit."""
         headers = task.requests[0].headers
         headers[_ARRIVED] = repr(self._clock.monotonic())
         headers.pop(_REFUSED, None)
@@ -49,24 +49,24 @@
 
 
 def is_refused(environ):
-    """Return whether a request came over the limit.
+    """Return whether a request exceeded the limit and must be refused.
 
     Parameters
     ----------
     environ : dict
-        Of WSGI.
+        WSGI environment.
     """
     return f"HTTP_{_REFUSED}" in environ
 
 
 def arrived_at(environ, now):
-    """Return the monotonic seconds at which a request was read whole.
+    """Return the monotonic time at which a request was completely read.
 
     Parameters
     ----------
     environ : dict
-        Of WSGI.
+        WSGI environment.
     now : float
-        Taken where no dispatcher of this kind is in use.
+        Returned if the server does not use a BoundedDispatcher.
     """
     return float(environ.get(f"HTTP_{_ARRIVED}", now))
--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -1,4 +1,4 @@
-"""Hand durable work to the shard that journals it, and ask what became of it."""
+"""Submit durable work to the owner of its shard, and query and cancel it."""
 
 import base64
 import json
@@ -42,13 +42,14 @@
         self._process = process
 
     def submit(self, admitted, is_keyed=True):
-        """Hand work over; answer 202, or the whole answer where it is urgent.
+        """Submit work; answer 202, or with the result if the work is urgent.
 
         Parameters
         ----------
         admitted : AdmittedRequest
         is_keyed : bool
-            Whether an earlier request may have had the same id.
+            Whether the caller sent an idempotency key, so that an earlier request
+            may have had the same id.
 
         Returns
         -------
@@ -73,7 +74,7 @@
         return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
 
     def cancel(self, request_id):
-        """Cancel a request; the answer tells whether it had started."""
+        """Cancel a request; return its state, which shows whether it had started."""
         shard = self._shard_from_id(request_id)
         wanted = WorkCancel(shard=shard, request_id=request_id)
         return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
--- a/papayapick/gateway/exceptions.py
+++ b/papayapick/gateway/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors that callers meet."""
+"""Errors that the gateway returns to callers."""
 
 from papayapick.exceptions import PapayapickError, RetryAfter
 
@@ -19,14 +19,14 @@
 
 
 class GatewayError(PapayapickError):
-    """Stand for any refusal at the gateway; the work did not run."""
+    """Base class of refusals by the gateway; the work was not run."""
 
     code = "request.error"
     outcome = "not_run"
 
 
 class RequestInvalid(GatewayError):
-    """Report a request that is not well formed."""
+    """Report a malformed request."""
 
     code = "request.invalid"
     template = "{place}: {reason}"
@@ -36,76 +36,78 @@
     """Report a body over the limit."""
 
     code = "request.body-too-large"
-    template = "the body has {size} bytes, allowed are {limit}"
+    template = "the body has {size} bytes; the limit is {limit}"
 
 
 class ServiceNotInBundle(GatewayError):
-    """Report a service or job that the bundle does not name."""
+    """Report a service or job that is not in the bundle."""
 
     code = "request.service-unknown"
     template = "{name} is not in the bundle"
 
 
 class KeyMissing(GatewayError):
-    """Report work not to be repeated that came without an idempotency key."""
+    """Report non-repeatable work without an idempotency key."""
 
     code = "request.key-missing"
-    template = "{name} is not to be repeated and needs the header Idempotency-Key"
+    template = "{name} is not repeatable and requires the header Idempotency-Key"
 
 
 class DeadlinePast(GatewayError):
-    """Report a request whose deadline was over when it came."""
+    """Report a request whose deadline has expired before it could be processed."""
 
     code = "request.deadline-past"
-    template = "the deadline is over already"
+    template = "the deadline has expired already"
 
 
 class TooManyMembers(GatewayError):
     """Report a job with more members than its policy allows."""
 
     code = "request.members-over-limit"
-    template = "{members} members, allowed are {limit}"
+    template = "the job has {members} members; the limit is {limit}"
 
 
 class GatewayFull(RetryAfter, GatewayError):
-    """Report a gateway at which too many requests wait already."""
+    """Report a gateway whose queue of waiting requests is full."""
 
     code = "request.gateway-full"
-    template = "this gateway has no thread free; come back in {retry_after:.3f} s"
+    template = "the queue of this gateway is full; retry in {retry_after:.3f} s"
 
 
 class PathUnknown(GatewayError):
-    """Report a path or method that the interface does not have."""
+    """Report a path or method that the interface does not support."""
 
     code = "request.path-unknown"
-    template = "there is no {method} {path}"
+    template = "{method} {path} does not exist"
 
 
 class BackendFailed(GatewayError):
-    """Report a backend server that answered with an error of its own."""
+    """Report a backend server that answered with a server error."""
 
     code = "call.backend-failed"
-    template = "the backend server answered {status}"
+    template = "the backend server answered with status {status}"
     outcome = "failed"
 
 
 class CallAnswerMissing(GatewayError):
-    """Report a call that was sent and got no whole answer."""
+    """Report a call that was sent but got no complete answer."""
 
     code = "call.answer-missing"
-    template = "the backend server gave no whole answer in time"
+    template = "the backend server sent no complete answer in time"
     outcome = "unknown"
     retry_after = 1.0
 
 
 class OwnerMissing(GatewayError):
-    """Report a key whose shard nobody serves just now.
+    """Report a key whose shard has no known owner at present.
 
-    An earlier request under the key may have been taken on, so "not run" would
-    be no certain word.
+    An earlier request under the key may have been accepted, so the outcome can't
+    be reported as "not run".
     """
 
     code = "request.owner-missing"
-    template = "nobody can tell now what became of key of request {request_id}"
+    template = (
+        "the state of request {request_id} is unknown while its shard has no owner"
+    )
     outcome = "unknown"
     retry_after = 1.0
--- a/papayapick/gateway/problems.py
+++ b/papayapick/gateway/problems.py
@@ -1,4 +1,4 @@
-"""Tell callers of errors as RFC 9457 problems."""
+"""Answers to callers; errors are reported as problem details (RFC 9457)."""
 
 import json
 import math
@@ -33,7 +33,7 @@
 
 
 class Answer:
-    """Hold one whole answer to a caller.
+    """Hold one complete answer to a caller.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
     body : bytes
     headers : list of (str, str)
     outcome : str
-        What became of the work, for log and metrics.
+        Outcome of the work, for logs and metrics.
     """
 
     __slots__ = ("body", "content_type", "headers", "outcome", "status")
@@ -63,14 +63,14 @@
 
 
 def problem(error, request_id, fallback_outcome="not_run"):
-    """Return the answer that tells a caller of an error.
+    """Return the answer that reports an error to a caller.
 
     Parameters
     ----------
     error : PapayapickError
     request_id : str
     fallback_outcome : {"not_run", "unknown", "failed"}
-        Where the error itself does not say what became of the work.
+        Outcome of the work if the error does not state it.
 
     Returns
     -------
--- a/papayapick/gateway/process.py
+++ b/papayapick/gateway/process.py
@@ -1,4 +1,4 @@
-"""Run the gateway: listen to callers, and to peers."""
+"""Run the gateway process, which listens for callers and peers."""
 
 import logging
 import threading
@@ -28,7 +28,7 @@
 
 
 class Gateway:
-    """Serve callers.
+    """Serve callers over HTTP.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
         return self._application
 
     def addresses(self):
-        """Return what the process listens on, for its log."""
+        """Return the addresses that the process listens on, for its log."""
         host, port = self._process.peer_server.address
         server = self._server
         return {
@@ -77,15 +77,15 @@
         }
 
     def start(self):
-        """Start every task."""
+        """Start all tasks."""
         self._process.start()
         self._process.executor.submit(self._server.run)
 
     def stop(self):
-        """Let every request in flight get its whole answer, then close.
+        """Complete the answers to all requests in flight, then close.
 
-        The balancer sees ``/readyz`` fail and sends no more; what it still
-        sends meanwhile is served.
+        ``/readyz`` fails, so the load balancer stops sending requests. Requests that
+        it still sends are served.
         """
         process = self._process
         process.is_draining = True
@@ -108,7 +108,7 @@
         return sum(found.kind == GATEWAY_KIND and found.is_live for found in entries)
 
     def _is_idle(self):
-        # An answer that a slow caller has not read yet lies in its channel.
+        # The channel buffers an answer that a slow caller has not read completely.
         channels = list(self._server.active_channels.values())
         return not self._application.in_flight and all(
             not channel.requests and not channel.total_outbufs_len
@@ -120,8 +120,9 @@
         host, port = settings.listen_http
         dispatcher = BoundedDispatcher(settings.http_waiting, self._process.clock)
         dispatcher.set_thread_count(settings.http_threads)
-        # The server takes another dispatcher by this argument only; the version is
-        # pinned, and tests/gateway/test_dispatcher.py tells when it goes.
+        # waitress accepts a custom dispatcher only in this private argument. Its
+        # version is pinned, and tests/gateway/test_dispatcher.py fails if a new
+        # version has no such argument.
         return create_listener(
             self._application,
             host=host,
--- a/papayapick/gateway/program.py
+++ b/papayapick/gateway/program.py
@@ -7,7 +7,7 @@
 
 __all__ = ["USAGE", "main"]
 
-USAGE = f"""Serve callers: check, admit, call and relay the whole answer.
+USAGE = f"""Serve callers: validate and admit their requests and return complete answers.
 
 Usage:
   papayapick-gateway [options]
@@ -24,7 +24,7 @@
 
 
 def main():
-    """Run the gateway until it is told to stop."""
+    """Run the gateway until it is stopped."""
     run_program(USAGE, GATEWAY, Gateway.from_config)
 
 
--- a/papayapick/gateway/submission.py
+++ b/papayapick/gateway/submission.py
@@ -1,4 +1,4 @@
-"""Bring one piece of durable work to whoever owns its shard."""
+"""Submit durable work to the current owner of its shard."""
 
 import json
 from concurrent.futures import TimeoutError as FutureTimeout
@@ -24,34 +24,37 @@
 ]
 
 ANSWER_SECONDS = 1.5
-# Longer than two heartbeats across the link between regions, after which a
-# gateway there knows of a new owner.
+# Longer than two heartbeats across the link between regions, after which a gateway
+# of the other region knows a new owner.
 MOVE_TIMEOUT_SECONDS = 4.5
 MOVE_RETRY_SECONDS = 0.05
 _POLL_SECONDS = 0.25
 _WORK_MOVED = "placer.work-moved"
-# A draining owner passes work on; what breaks behind it comes as its refusal. Told
-# to the caller, that was 504 with outcome unknown, though asking again settles it.
+# A draining owner forwards work and reports a lost connection to its successor as a
+# refusal. The submission is retried, which determines the outcome; passing the refusal
+# on would give the caller a 504 with outcome unknown.
 _RELAYED_LOSS_CODES = (PeerDisconnected.code, PeerTimeout.code)
 _WAITING = "waiting"
 _NOT_RUN = "not_run"
 
 
 class Submission:
-    """Submit work until an owner of its shard has told what became of it.
+    """Submit work until an owner of its shard has reported the state.
 
-    The same work under the same id may be submitted again and again: the
-    journal of the shard takes it on once. So a placer that dies, freezes or
-    hands its shard over in the middle costs the caller time and not the truth.
+    The same work may be submitted repeatedly under the same id, because the
+    journal of the shard accepts it once. A placer that dies, is paused or hands
+    its shard over during a submission therefore delays the answer but doesn't
+    make it wrong.
 
     Parameters
     ----------
     process : Process
     admitted : AdmittedRequest
     wait : float
-        Seconds that the caller waits for the outcome, 0 for deferred work.
+        Seconds that the caller waits for the outcome; 0 for deferred work.
     is_keyed : bool
-        Whether an earlier request may have had the same id.
+        Whether the caller sent an idempotency key, so that an earlier request
+        may have had the same id.
     """
 
     __slots__ = (
@@ -77,7 +80,7 @@
         self._loss = None
 
     def submit(self):
-        """Return the state of the work as its owner tells it.
+        """Submit the work and return its state as reported by the shard's owner.
 
         Returns
         -------
@@ -86,11 +89,12 @@
         Raises
         ------
         PeerRefused
-            The owner's own word, or a loss behind it (outcome unknown).
+            The owner refused the work, or lost the connection to the placer to which
+            it forwarded the work (outcome unknown).
         PeerDisconnected, PeerTimeout, OwnerMissing
-            Whether it was taken on is unknown.
+            Whether the work was accepted is unknown.
         ShardUnserved, PeerUnreachable
-            It was not taken on.
+            The work was not accepted.
         """
         clock = self._process.clock
         while True:
@@ -106,8 +110,8 @@
                     self._loss = error
                 elif not has_moved(error):
                     if self._loss is not None and error.outcome == _NOT_RUN:
-                        # The message whose answer was lost may still be read
-                        # behind this one and be taken on.
+                        # The earlier message, whose answer was lost, may still be
+                        # processed after this one and be accepted.
                         raise self._loss from error
                     raise
                 self._is_accepted |= error.refusal_code == _WORK_MOVED
@@ -147,8 +151,8 @@
                     ) from None
 
     def _has_new_owner(self, peer):
-        # A frozen placer keeps its connections and answers nothing; its
-        # successor can tell long before the caller's wait is over.
+        # A paused placer keeps its connections open without answering. Its successor
+        # can answer long before the caller's wait ends.
         try:
             return self._process.peers.owner_of(self._admitted.shard) is not peer
         except (ShardUnserved, WireError):
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -1,4 +1,4 @@
-"""Serve urgent repeatable requests: a slot, a call, the whole answer."""
+"""Serve urgent repeatable requests by calling backend servers directly."""
 
 from papayapick.clients import (
     AnswerInvalid,
@@ -31,7 +31,7 @@
 
 
 class _RequestState:
-    """Hold what stays the same over the tries of one request."""
+    """Hold the state that the attempts of one request share."""
 
     __slots__ = ("admitted", "arrived", "avoid", "deadline", "error", "may_have_run")
 
@@ -66,7 +66,7 @@
         self._timeouts = timeouts
 
     def serve(self, admitted):
-        """Return the whole answer to one request.
+        """Return the complete answer to one request.
 
         Parameters
         ----------
@@ -79,7 +79,7 @@
         Raises
         ------
         PapayapickError
-            ``outcome`` tells what became of the work.
+            Its ``outcome`` states the outcome of the work.
         """
         clock = self._process.clock
         state = _RequestState(admitted, clock.monotonic())
@@ -92,9 +92,9 @@
             try:
                 return self._attempt(state, is_last)
             except (StaleEpoch, GrantExpired) as error:
-                # The slot was void, so this was no try. While a shard changes
-                # hands many requests meet that at once, and would use up the
-                # budget of retries.
+                # The slot was void, so this is not counted as an attempt. It
+                # happens to many requests at once while a shard changes its
+                # owner, and would exhaust the retry budget.
                 self._note_error(state, error)
                 void_slots += 1
                 if self._may_replace_slot(state, void_slots):
@@ -111,7 +111,7 @@
                 state.may_have_run = True
                 self._note_error(state, error)
             except PapayapickError as error:
-                # No slot for this try; what an earlier one did still stands.
+                # No slot for this attempt; the effect of earlier ones remains.
                 self._note_error(state, error)
                 break
             if state.may_have_run and not admitted.policy.repeatable:
@@ -130,10 +130,10 @@
 
     @staticmethod
     def _note_error(state, error):
-        """Keep the error that tells the caller the truth.
+        """Keep the error whose outcome holds for all attempts together.
 
-        A later try that was not sent must not turn into "not run" what an
-        earlier try may have run.
+        A later attempt that was not sent must not cause the outcome "not run" for
+        work that an earlier attempt may have run.
         """
         kept = state.error
         if kept is not None and getattr(kept, "outcome", "") == UNKNOWN:
@@ -169,7 +169,7 @@
             outcome = STALE
             raise
         except (AnswerMissing, AnswerInvalid):
-            # The backend server may still run it: the slot is not free yet.
+            # The backend server may still run the call: the slot is not free yet.
             outcome = UNKNOWN
             self._timeouts.observe(admitted.name, clock.monotonic() - started_at)
             raise
@@ -198,10 +198,10 @@
         return DONE, answer
 
     def _attempt_seconds(self, state, is_last, now):
-        """Return how long one try may take.
+        """Return how long one attempt may take.
 
-        A try is cut short only where another may follow: without a retry left,
-        a slow answer is still better than none.
+        An attempt gets a shorter time limit only if another may follow: without
+        a retry left, a slow answer is better than none.
         """
         policy = state.admitted.policy
         remaining = min(state.deadline - now, policy.run_seconds)
@@ -235,7 +235,7 @@
         raise DeadlineOver(service=admitted.name)
 
     def _slot_wait_seconds(self, service, remaining):
-        """Return how long a request may wait and still be answered in time."""
+        """Return how long a request may wait for a slot and be answered in time."""
         usual = self._timeouts.usual_seconds(service)
         if usual is None:
             return max(0.0, remaining * _SLOT_SHARE)
