--- a/papayapick/gateway/program.py
+++ b/papayapick/gateway/program.py
@@ -7,7 +7,7 @@
 
 __all__ = ["USAGE", "main"]
 
-USAGE = f"""Serve callers: validate and admit their requests and return complete answers.
+USAGE = f"""Serve callers: validate and admit requests and return complete answers.
 
 Usage:
   papayapick-gateway [options]
