--- a/tests/gateway/scripted.py
+++ b/tests/gateway/scripted.py
@@ -1,4 +1,4 @@
-"""A backend server on a real socket that answers by script."""
+"""A backend server on a real socket with scripted answers."""
 
 import queue
 import socket
@@ -6,10 +6,10 @@
 
 
 class ScriptedServer:
-    """Answer each request with the next list of parts.
+    """Answer each request with the next script, a sequence of parts.
 
     A part is bytes to send, an Event to wait for, or ``CLOSE``. In the bytes,
-    ``{id}`` stands for the id of the request.
+    ``{id}`` is replaced by the id of the request.
     """
 
     CLOSE = object()
@@ -69,7 +69,7 @@
 
     @staticmethod
     def _read(reader):
-        """Return the id of the next request, or None at the end."""
+        """Return the id of the next request, or None at the end of the stream."""
         if not reader.readline():
             return None
         headers = {}
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a typed problem at once, and nothing runs."""
+"""Invalid input is answered with a typed problem, and nothing is run."""
 
 import http.client
 import json
@@ -85,10 +85,10 @@
 
 
 def test_key_with_another_payload_is_a_conflict(footfall):
-    """
-    A manager's second refresh under an old key shows the old figures.
-    Order: a refresh ran under a key; another payload comes under the same key.
-    Cause: the key alone would name the first answer.
+    """A reused key with another payload must not return the earlier answer.
+
+    If the key alone identified a request, a refresh with a new payload would show
+    the figures of the earlier refresh.
     """
     headers = {"Idempotency-Key": "reused"}
     first, second = (found.addresses["http"] for found in footfall.gateways[:2])
--- a/tests/gateway/test_callers_limits.py
+++ b/tests/gateway/test_callers_limits.py
@@ -1,4 +1,4 @@
-"""Callers' sizes, headers and slowness are bounded, and hold no thread."""
+"""Requests are limited in size and headers, and slow callers hold no thread."""
 
 import contextlib
 import json
@@ -21,11 +21,11 @@
 
 
 def test_slow_callers_do_not_hold_the_threads(footfall):
-    """
-    A manager's count waits although the gateway is idle.
-    Order: forty callers send headers and the first byte of a body, and stall;
-    another caller's whole request comes after them.
-    Cause: a thread for each connection, in place of each whole request.
+    """Forty callers stall after the first byte of a body; another sends a request.
+
+    If a thread served each connection instead of each complete request, the stalled
+    callers would occupy all threads, and the request would wait although the
+    gateway is idle.
     """
     address = footfall.gateways[0].addresses["http"]
     body = json.dumps(BODY).encode()
@@ -36,7 +36,7 @@
             caller.sendall(head.encode() + body[:1])
         for _ in range(3):
             assert http_call(address, "POST", PATH, BODY)[0] == 200
-        # They were slow and not wrong: each gets its whole answer in the end.
+        # The slow requests are valid: each is answered once it is complete.
         for caller in slow:
             caller.sendall(body[1:])
         for caller in slow:
@@ -82,7 +82,7 @@
 )
 def test_hostile_request_is_refused(footfall, data, status):
     with _connect(footfall.gateways[0].addresses["http"]) as caller:
-        # The gateway may answer and close before it has read all.
+        # The gateway may answer and close before it has read the whole request.
         with contextlib.suppress(OSError):
             caller.sendall(data)
         answer = caller.recv(64)
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""A flood of requests is refused at once and does not wait for threads."""
+"""Excess requests are refused immediately and do not wait for threads."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -13,12 +13,12 @@
 SECONDS = 5
 
 
-class Slow:
-    """Answer 503 to what is refused, and the rest once it is let go."""
+class BlockingApplication:
+    """Answer 503 to refused requests, and others after the test releases them."""
 
     def __init__(self):
         self.started = threading.Event()
-        self.go_on = threading.Event()
+        self.may_continue = threading.Event()
         self.arrivals = []
 
     def __call__(self, environ, start_response):
@@ -26,14 +26,14 @@
         if not is_refused(environ):
             self.arrivals.append(arrived_at(environ, None))
             self.started.set()
-            self.go_on.wait(SECONDS)
+            self.may_continue.wait(SECONDS)
             status = "200 ok"
         start_response(status, [("Content-Length", "0")])
         return [b""]
 
 
 class Server:
-    """Serve with one thread and room for one request that waits."""
+    """Serve with one thread and a queue of one request."""
 
     def __init__(self, application):
         self.clock = ManualClock(7.0)
@@ -47,7 +47,7 @@
         self._task = self._callers.submit(self._server.run)
 
     def call(self, headers=None):
-        """Send a request from a task of its own."""
+        """Send a request in a separate task; return the future of its status."""
         return self._callers.submit(
             lambda: http_call(self.address, "GET", "/", None, headers, SECONDS)[0]
         )
@@ -58,40 +58,40 @@
 
 
 @pytest.fixture
-def slow():
-    return Slow()
+def application():
+    return BlockingApplication()
 
 
 @pytest.fixture
-def server(slow):
-    found = Server(slow)
+def server(application):
+    found = Server(application)
     yield found
-    slow.go_on.set()
+    application.may_continue.set()
     found.close()
 
 
-def test_what_is_over_the_limit_is_refused_while_the_threads_are_busy(slow, server):
-    """At opening time callers hear nothing until their deadlines are over.
+def test_excess_request_is_refused_while_the_threads_are_busy(application, server):
+    """The only thread is busy, a second request is queued, and a third arrives.
 
-    The only thread waits for a slot, a second request waits for the thread, and
-    a third comes. Waiting behind them, it would be served when nobody wants the
-    answer any more, in place of one that is still in time.
+    If it were queued as well, it would be served after its deadline, in place of a
+    request that could still be answered in time. Under overload callers would get
+    no answer until their deadlines expire.
     """
     first = server.call()
-    assert slow.started.wait(SECONDS)
+    assert application.started.wait(SECONDS)
     second = server.call()
     while not server.dispatcher.queue:
         assert not second.done()
     assert server.call().result(SECONDS) == 503
     assert not first.done()
     assert not second.done()
-    slow.go_on.set()
+    application.may_continue.set()
     assert [first.result(SECONDS), second.result(SECONDS)] == [200, 200]
 
 
-def test_a_caller_cannot_set_the_marks_of_the_dispatcher(slow, server):
-    """A request that names the marks as headers is served, with its true age."""
-    slow.go_on.set()
+def test_a_caller_cannot_set_the_headers_of_the_dispatcher(application, server):
+    """A request with forged dispatcher headers is served with its true arrival time."""
+    application.may_continue.set()
     forged = {"Papayapick-Refused": "1", "Papayapick-Arrived": "1e9"}
     assert server.call(forged).result(SECONDS) == 200
-    assert slow.arrivals == [7.0]
+    assert application.arrivals == [7.0]
--- a/tests/gateway/test_submission.py
+++ b/tests/gateway/test_submission.py
@@ -1,4 +1,4 @@
-"""Durable work is brought to whoever owns its shard, also through a handover."""
+"""Durable work reaches the owner of its shard, even during a handover."""
 
 from concurrent.futures import Future
 from types import SimpleNamespace
@@ -12,7 +12,7 @@
 
 
 class FakeClient:
-    """Answer by a script; its last entry again and again."""
+    """Answer calls from a script, repeating its last entry."""
 
     address = ("127.0.0.1", 7000)
 
@@ -32,7 +32,7 @@
 
 
 class SteppingClock(ManualClock):
-    """Let each wait take its time at once."""
+    """Advance the time of each wait immediately."""
 
     def wait(self, event, seconds):
         self.advance(seconds)
@@ -63,12 +63,12 @@
 
 
 @pytest.mark.parametrize("code", [PeerDisconnected.code, PeerTimeout.code])
-def test_loss_behind_a_relay_is_asked_again_under_the_same_id(code):
-    """A draining placer passes work on, and its successor goes away with it.
+def test_loss_behind_a_forwarding_owner_is_retried_under_the_same_id(code):
+    """A draining placer forwards work and loses the connection to its successor.
 
-    The caller was told 504, outcome unknown, though the journal of the shard
-    settles a second message under the same id: the loss came as the relay's
-    refusal, and only a loss on the gateway's own connection was asked again.
+    It reports the loss as a refusal. If the gateway retried only losses on its own
+    connections, the caller would get 504 with outcome unknown, although a second
+    message under the same id determines the outcome from the shard's journal.
     """
     done = WorkState(request_id="hobart-a.0.r", state="waiting")
     client = FakeClient(relayed(code), done)
@@ -76,7 +76,7 @@
     assert client.calls == 2
 
 
-def test_loss_behind_a_relay_stays_unknown_where_nobody_settles_it():
+def test_loss_behind_a_forwarding_owner_stays_unknown_if_retries_fail():
     client = FakeClient(relayed(PeerDisconnected.code))
     with pytest.raises(PeerRefused) as raised:
         submission(client).submit()
@@ -84,8 +84,8 @@
     assert client.calls > MOVE_TIMEOUT_SECONDS
 
 
-def test_refusal_after_a_loss_behind_a_relay_is_not_called_not_run():
-    """What the relay lost may be read behind the message that was refused."""
+def test_refusal_after_a_forwarded_loss_is_not_reported_as_not_run():
+    """The lost message may still be processed after the one that was refused."""
     refusal = PeerRefused(
         refusal_code="placer.waiting-full", detail="", outcome="not_run", retry_after=1
     )
--- a/tests/gateway/test_urgent.py
+++ b/tests/gateway/test_urgent.py
@@ -1,4 +1,4 @@
-"""Retry urgent requests as far as budget, deadline and truth allow."""
+"""Urgent requests are retried within budget and deadline, with correct outcomes."""
 
 import threading
 from contextlib import nullcontext
@@ -46,7 +46,7 @@
 
 
 class FakeInstances:
-    """Gives the answers of a script, in turn; each takes its time."""
+    """Answer calls from a script and advance the clock by each call's duration."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -137,12 +137,14 @@
     [row[1:] for row in OUTCOMES],
     ids=[row[0] for row in OUTCOMES],
 )
-def test_answer_and_slot_tell_the_truth(script, error, released):
-    """A try fails and the next ends otherwise.
-
-    What the caller hears must hold for all tries together: "not run" after a
-    try that may have run is a lie. The slot of a call without an answer must
-    not be told free.
+def test_answer_and_slot_outcomes_are_correct_over_all_attempts(
+    script, error, released
+):
+    """An attempt fails and the next one ends differently.
+
+    The outcome must hold for all attempts together: "not run" would be wrong after
+    an attempt that may have run. The slot of a call without an answer must not be
+    released as free.
     """
     bench = Bench()
     if error is None:
@@ -154,9 +156,10 @@
 
 
 def test_no_slot_for_the_retry_keeps_the_unknown_outcome():
-    """The first try gets no answer; for the second there is no slot.
+    """The first attempt gets no answer; the second gets no slot.
 
-    The refusal of the slot says "not run", but the first try may have run.
+    The refusal of the slot has the outcome "not run", but the first attempt may
+    have run.
     """
     bench = Bench()
     bench.slots.refuse_after = 1
@@ -165,10 +168,11 @@
     assert caught.value.outcome == "unknown"
 
 
-def test_silent_server_leaves_time_for_another():
-    """A backend server is silent, and the caller waits for its whole deadline.
+def test_unresponsive_server_leaves_time_for_another_attempt():
+    """A backend server doesn't answer.
 
-    The try must end while another server can still answer in time.
+    The attempt must end while another server can still answer before the
+    caller's deadline.
     """
     bench = Bench(timeout=2.0)
     assert bench.serve("silent").body == b"counts"
@@ -177,18 +181,19 @@
     assert bench.slots.avoided == [[], ["i1"]]
 
 
-def test_last_try_has_all_the_time():
-    """Without a retry to follow, cutting a slow answer short only loses it."""
+def test_last_attempt_may_use_all_remaining_time():
+    """Without a further retry, a shorter time limit would only lose slow answers."""
     bench = Bench(retries=0)
     bench.serve("good")
     assert bench.instances.given == [2.0]
 
 
-def test_limit_of_first_tries_does_not_cut_the_same_share_for_ever():
-    """One of ten requests rightly takes five times as long as the others.
+def test_time_limit_of_first_attempts_adapts_to_slow_requests():
+    """One of ten requests legitimately takes five times as long as the others.
 
-    Cut each time, it is sent twice, and both runs load the servers. Looking
-    at whole answers only, the limit would never learn that it is too short.
+    If its first attempt always timed out, it would be sent twice, and both runs
+    would load the servers. A limit derived from complete answers only would never
+    adapt.
     """
     bench = Bench()
     bench.calls._budgets = RetryBudgets(ratio=1.0, reserve=100.0)
@@ -202,11 +207,12 @@
     assert sum(cut[200:]) == 0
 
 
-def test_empty_budget_ends_retries():
-    """Every backend server fails, and each request is sent twice.
+def test_exhausted_budget_ends_retries():
+    """Every backend server fails.
 
-    The retries double the load just when it hurts; the budget bounds them to a
-    tenth, and without one left a try is not cut short either.
+    Retrying every request would double the load during the failure. The budget
+    limits retries to a tenth of the requests, and without a retry left an attempt
+    gets no shorter time limit either.
     """
     bench = Bench()
     sent = 0
@@ -218,11 +224,11 @@
     assert bench.instances.given[-1] == 2.0
 
 
-def test_work_not_to_be_repeated_is_not_sent_twice():
-    """A server gives no answer to work that is not to be repeated.
+def test_non_repeatable_work_is_not_sent_twice():
+    """A server doesn't answer a request that is not repeatable.
 
-    It may have run; a second send could run it twice. What was never sent may
-    be tried again.
+    The request may have run, so sending it again could run it twice. A request
+    that was never sent may be retried.
     """
     bench = Bench(repeatable=False)
     with pytest.raises(CallAnswerMissing):
@@ -231,11 +237,12 @@
     assert Bench(repeatable=False).serve("down", "good").body == b"counts"
 
 
-def test_shard_that_changes_hands_costs_no_retries():
-    """A placer is replaced under load; its slots are refused as stale.
+def test_change_of_a_shards_owner_consumes_no_retries():
+    """A placer is replaced under load, and its slots are refused as stale.
 
-    Hundreds of requests meet that in half a second. As retries they used up
-    the budget, and callers heard 503 though every server was well.
+    This affects hundreds of requests within half a second. Counted as retries,
+    they would exhaust the budget, and callers would get 503 although every server
+    is healthy.
     """
     bench = Bench(retries=0)
     for _ in range(50):
@@ -246,9 +253,9 @@
 
 
 def test_no_retry_past_the_deadline():
-    """A server answers after the deadline, in part; the caller has gone.
+    """A server fails to answer completely before the deadline.
 
-    A further try would take a slot from requests that are still waited for.
+    A further attempt would take a slot from requests whose callers still wait.
     """
     bench = Bench(timeout=1.0, retries=3)
     with pytest.raises(CallAnswerMissing):
@@ -257,7 +264,7 @@
 
 
 def test_slot_after_the_deadline_is_not_used():
-    """The slot comes when the caller has gone; the work would run for nobody."""
+    """The slot is granted after the deadline, when no caller waits for the result."""
     bench = Bench(timeout=1.0, retries=0)
     bench.slots.delay = 1.0
     with pytest.raises(DeadlineOver):
--- a/tests/gateway/test_whole_answers.py
+++ b/tests/gateway/test_whole_answers.py
@@ -1,7 +1,7 @@
-"""Take only whole answers to the very request, over real sockets.
+"""Only complete answers to the same request are accepted, over real sockets.
 
-Each row has a backend server answer wrongly; the next request to it must get
-its own whole answer, whatever the wrong one left behind.
+In each case a backend server sends an invalid answer. The next request to it must
+get its own complete answer, whatever state the invalid one left on the connection.
 """
 
 import threading
@@ -40,13 +40,13 @@
 
 
 WRONG = [
-    # The server closes after half the body; half a count looks like a count.
+    # The server closes after part of the body, which could be mistaken for a result.
     ("truncated", [HEAD + b"Content-Length: 9\r\n\r\nhalf", CLOSE], AnswerMissing),
-    # The length is too short; what is cut off looks whole.
+    # The length is too short; the truncated body would look complete.
     ("length too short", [HEAD + b"Content-Length: 4\r\n\r\nwhole"], AnswerInvalid),
-    # The length is too long; the rest never comes.
+    # The length is too long; the rest of the body is never sent.
     ("length too long", [HEAD + b"Content-Length: 9\r\n\r\nwhole"], AnswerMissing),
-    # Without a length a closed connection looks like the end.
+    # Without a length, a closed connection looks like the end of the body.
     ("no length", [HEAD + b"\r\nwhole", CLOSE], AnswerInvalid),
     ("length no number", [HEAD + b"Content-Length: x\r\n\r\nwh", CLOSE], AnswerInvalid),
     (
@@ -54,7 +54,7 @@
         [HEAD + b"Content-Length: 2\r\nContent-Length: 5\r\n\r\nwh", CLOSE],
         AnswerInvalid,
     ),
-    # The answer to another caller's request would reach this one.
+    # This caller would get the answer to another caller's request.
     ("another's answer", [OTHER + b"Content-Length: 5\r\n\r\nother"], AnswerInvalid),
     ("no id", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"], AnswerInvalid),
     (
@@ -63,7 +63,7 @@
         AnswerInvalid,
     ),
     ("closed before the head", [CLOSE], AnswerMissing),
-    # The library takes a head that is cut short for a whole one.
+    # The HTTP library accepts a truncated head as a complete one.
     ("closed in the head", [HEAD + b"Content-Le", CLOSE], AnswerInvalid),
     ("no HTTP", [b"whole\r\n\r\n", CLOSE], AnswerMissing),
     ("silent", [NEVER], AnswerMissing),
@@ -83,11 +83,13 @@
 @pytest.mark.parametrize(
     ("parts", "error"), [row[1:] for row in WRONG], ids=[row[0] for row in WRONG]
 )
-def test_wrong_answer_is_refused_and_spoils_no_later_one(client, server, parts, error):
-    """A backend server gives a wrong answer, then good ones.
+def test_invalid_answer_is_refused_and_does_not_affect_later_ones(
+    client, server, parts, error
+):
+    """A backend server sends an invalid answer, then valid ones.
 
-    The first caller must hear of a failure and no part of a body; the second
-    must get its own, though the first left bytes or a broken connection.
+    The first caller must get an error and no part of a body. The second must get its
+    own answer although the first left unread bytes or a broken connection.
     """
     server.answer(*parts)
     seconds = 0.3 if error is AnswerMissing else 5.0
@@ -97,10 +99,10 @@
     assert call(client, server, "second") == b"whole"
 
 
-def test_late_answer_reaches_nobody(client, server):
-    """A caller gives up; the server answers later, while another waits.
+def test_late_answer_is_discarded(client, server):
+    """A caller times out; the server answers later, while another caller waits.
 
-    On a shared connection the late answer would be taken for the other's.
+    On a shared connection the other caller would get the late answer.
     """
     late = threading.Event()
     server.answer(late, GOOD)
@@ -112,10 +114,10 @@
 
 
 def test_answers_in_the_wrong_order_are_both_refused(client, server):
-    """On a kept connection the server answers the previous request again.
+    """On a reused connection the server answers the previous request again.
 
-    From then on each answer would be the one before. The connection is given
-    up, and the next request starts on a new one.
+    Each later request would get the previous request's answer. The connection is
+    closed, and the next request uses a new one.
     """
     server.answer(GOOD)
     call(client, server, "first")
@@ -127,8 +129,8 @@
     assert server.connections == 2
 
 
-def test_stray_bytes_on_an_idle_connection_are_seen(client, server):
-    """After a whole answer the server sends a second one that nobody asked for.
+def test_stray_bytes_on_an_idle_connection_are_detected(client, server):
+    """After a complete answer the server sends a second, unrequested one.
 
     The next request would read it as its own answer.
     """
@@ -147,8 +149,8 @@
     sent.set()
 
 
-def test_connection_closed_while_idle_costs_no_request(client, server):
-    """The server closes idle connections; the next request fails for nothing."""
+def test_connection_closed_while_idle_fails_no_request(client, server):
+    """A connection that the server closed while idle must not fail a request."""
     server.answer(GOOD, CLOSE)
     call(client, server, "first")
     (kept,) = next(iter(client._pool._idle.values()))
@@ -158,15 +160,14 @@
     assert call(client, server, "second") == b"whole"
 
 
-def test_drip_of_bytes_ends_at_the_deadline(server):
-    """A server sends one byte now and then and never falls silent for long.
+def test_slow_stream_of_bytes_ends_at_the_deadline(server):
+    """A server sends single bytes with short pauses.
 
-    A limit on the silence between two parts would let it hold the caller for
-    ever.
+    A time limit for each read alone would let it block the caller forever.
     """
 
-    class DripClock:
-        """Runs half a second at each look."""
+    class AdvancingClock:
+        """Advance by half a second at each reading."""
 
         now = 0.0
 
@@ -174,16 +175,16 @@
             self.now += 0.5
             return self.now
 
-    client = InstanceClient(HttpPool(5.0, DripClock()))
+    client = InstanceClient(HttpPool(5.0, AdvancingClock()))
     body = [bytes([97 + number]) for number in range(20)]
     server.answer(HEAD + b"Content-Length: 20\r\n\r\n", *body)
     with pytest.raises(AnswerMissing):
-        # Each look at the clock leaves less; the socket itself never times out
-        # before, as the bytes are there.
+        # Each reading of the clock reduces the remaining time. The socket itself never
+        # times out, because the bytes are available.
         call(client, server, "first", 2.0)
 
 
-def test_chunked_answer_is_whole_with_its_last_chunk(client, server):
+def test_chunked_answer_is_complete_with_its_last_chunk(client, server):
     chunks = b"5\r\nwhole\r\n4\r\n one\r\n0\r\n\r\n"
     server.answer(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks)
     assert call(client, server, "first") == b"whole one"
@@ -192,10 +193,10 @@
 
 
 def test_same_request_through_another_gateway_gets_its_own_answer(server):
-    """A caller loses patience and asks again through another gateway.
+    """A caller repeats its request through another gateway after a timeout.
 
-    Both answers come, the first one late. Each gateway names its own id, so
-    that neither takes the other's answer.
+    Both answers arrive, the first one late. Each gateway uses its own request id,
+    so that neither accepts the other's answer.
     """
     first, second = InstanceClient(HttpPool(5.0)), InstanceClient(HttpPool(5.0))
     late = threading.Event()
@@ -215,11 +216,11 @@
     assert is_leaving(answer)
 
 
-def test_leaving_server_is_not_opened_but_tells_what_it_runs(client, server):
-    """The list lags and names a leaving server as live; the placer looks at it.
+def test_leaving_server_is_not_opened_but_reports_its_running_calls(client, server):
+    """An outdated host list names a leaving server as live, and the placer polls it.
 
-    Opened, it would get new work again. What it still runs must be told all
-    the same, or its slots are lost.
+    If it were opened, it would get new work again. It must still report its running
+    calls; otherwise the state of its slots is lost.
     """
     body = b'Leaving: 1\r\nContent-Length: 17\r\n\r\n{"running":["r"]}'
     for _ in range(2):
