--- a/papayapick/gateway/admission.py
+++ b/papayapick/gateway/admission.py
@@ -109,22 +109,22 @@
     GatewayError
         The request is invalid; nothing was run.
     """
-    found = _read_body(environ, body_limit)
+    body = _read_body(environ, body_limit)
     caller = _header(environ, "HTTP_CALLER", _NAME_LIMIT) or _ANONYMOUS
     key = _header(environ, "HTTP_IDEMPOTENCY_KEY", _KEY_LIMIT)
-    if ("service" in found) == ("job" in found):
+    if ("service" in body) == ("job" in body):
         raise RequestInvalid(
             place="body", reason="must name exactly one service or one job"
         )
-    if "job" in found:
-        return _admit_job(environ, bundle, found, caller, key)
-    return _admit_service(environ, bundle, found, caller, key)
+    if "job" in body:
+        return _admit_job(environ, bundle, body, caller, key)
+    return _admit_service(environ, bundle, body, caller, key)
 
 
-def _admit_service(environ, bundle, found, caller, key):
-    name = _name(found, "service")
+def _admit_service(environ, bundle, body, caller, key):
+    name = _name(body, "service")
     policy = _policy(bundle.services, name, key)
-    payload = json.dumps(found.get("payload")).encode()
+    payload = json.dumps(body.get("payload")).encode()
     timeout = _timeout(environ, policy.timeout_seconds, policy.longest_timeout_seconds)
     request_id, shard = uuid.uuid4().hex, ""
     if policy.is_durable:
@@ -132,18 +132,18 @@
     return AdmittedRequest(request_id, shard, name, policy, caller, payload, timeout)
 
 
-def _admit_job(environ, bundle, found, caller, key):
-    name = _name(found, "job")
+def _admit_job(environ, bundle, body, caller, key):
+    name = _name(body, "job")
     policy = _policy(bundle.jobs, name, key)
-    members = found.get("members", 1)
+    members = body.get("members", 1)
     if not isinstance(members, int) or isinstance(members, bool) or members < 1:
         raise RequestInvalid(place="members", reason="must be a positive integer")
     if members > policy.members_limit:
         raise TooManyMembers(members=members, limit=policy.members_limit)
     job = {
         "members": members,
-        "demand": _demand(found),
-        "work": found.get("payload") or {},
+        "demand": _demand(body),
+        "work": body.get("payload") or {},
     }
     timeout = _timeout(environ, policy.timeout_seconds, policy.timeout_seconds)
     request_id, shard = _durable_identity(bundle, caller, name, key)
@@ -179,25 +179,25 @@
     if size > body_limit:
         raise BodyTooLarge(size=size, limit=body_limit)
     try:
-        found = json.loads(environ["wsgi.input"].read(size))
+        body = json.loads(environ["wsgi.input"].read(size))
     except (ValueError, RecursionError) as error:
         raise RequestInvalid(place="body", reason="must be valid JSON") from error
-    if not isinstance(found, dict):
+    if not isinstance(body, dict):
         raise RequestInvalid(place="body", reason="must be a JSON object")
-    return found
+    return body
 
 
-def _name(found, field):
-    name = found[field]
+def _name(body, field):
+    name = body[field]
     if not isinstance(name, str) or not 0 < len(name) <= _NAME_LIMIT:
         raise RequestInvalid(place=field, reason="must be 1 to 64 characters long")
     return name
 
 
-def _demand(found):
+def _demand(body):
     amounts = {}
     for field in _DEMANDS:
-        amount = found.get(field, 0)
+        amount = body.get(field, 0)
         if not isinstance(amount, int) or isinstance(amount, bool) or amount < 0:
             raise RequestInvalid(place=field, reason="must be a non-negative integer")
         amounts[field] = amount
@@ -217,11 +217,11 @@
 
 
 def _timeout(environ, default, longest):
-    given = environ.get("HTTP_REQUEST_TIMEOUT")
-    if given is None:
+    header = environ.get("HTTP_REQUEST_TIMEOUT")
+    if header is None:
         return default
     try:
-        seconds = float(given)
+        seconds = float(header)
     except ValueError as error:
         raise RequestInvalid(
             place="Request-Timeout", reason="must be a number of seconds"
--- a/papayapick/gateway/application.py
+++ b/papayapick/gateway/application.py
@@ -63,9 +63,9 @@
 
     def __call__(self, environ, start_response):
         """Answer one WSGI request."""
-        found = health_answer(environ["PATH_INFO"], self._process, self.is_ready)
-        if found is not None:
-            status, kind, body = found
+        health = health_answer(environ["PATH_INFO"], self._process, self.is_ready)
+        if health is not None:
+            status, kind, body = health
             return self._send(start_response, status, Answer(200, kind, body))
         if is_refused(environ):
             return self._refuse(start_response)
--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -6,8 +6,8 @@
 from papayapick.gateway.problems import Answer, problem
 from papayapick.gateway.submission import (
     ANSWER_SECONDS,
-    MOVE_RETRY_SECONDS,
-    MOVE_TIMEOUT_SECONDS,
+    NEW_OWNER_RETRY_SECONDS,
+    NEW_OWNER_TIMEOUT_SECONDS,
     Submission,
 )
 from papayapick.journal import WorkUnknown
@@ -82,18 +82,18 @@
     def _ask(self, wanted, seconds):
         clock = self._process.clock
         traceparent = self._process.tracing.traceparent()
-        give_up_at = clock.monotonic() + MOVE_TIMEOUT_SECONDS
+        deadline = clock.monotonic() + NEW_OWNER_TIMEOUT_SECONDS
         while True:
             try:
                 peer = self._process.peers.owner_of(wanted.shard)
                 return peer.client.ask(wanted, seconds, traceparent)
             except (ShardUnserved, PeerUnreachable):
-                if clock.monotonic() >= give_up_at:
+                if clock.monotonic() >= deadline:
                     raise
             except PeerRefused as error:
-                if not has_moved(error) or clock.monotonic() >= give_up_at:
+                if not has_moved(error) or clock.monotonic() >= deadline:
                     raise
-            clock.wait(self._process.is_stopping, MOVE_RETRY_SECONDS)
+            clock.wait(self._process.is_stopping, NEW_OWNER_RETRY_SECONDS)
 
     def _shard_from_id(self, request_id):
         shard = request_id.rpartition(".")[0]
--- a/papayapick/gateway/submission.py
+++ b/papayapick/gateway/submission.py
@@ -18,16 +18,16 @@
 
 __all__ = [
     "ANSWER_SECONDS",
-    "MOVE_TIMEOUT_SECONDS",
-    "MOVE_RETRY_SECONDS",
+    "NEW_OWNER_RETRY_SECONDS",
+    "NEW_OWNER_TIMEOUT_SECONDS",
     "Submission",
 ]
 
 ANSWER_SECONDS = 1.5
 # Longer than two heartbeats across the link between regions, after which a gateway
 # of the other region knows a new owner.
-MOVE_TIMEOUT_SECONDS = 4.5
-MOVE_RETRY_SECONDS = 0.05
+NEW_OWNER_TIMEOUT_SECONDS = 4.5
+NEW_OWNER_RETRY_SECONDS = 0.05
 _POLL_SECONDS = 0.25
 _WORK_MOVED = "placer.work-moved"
 # A draining owner forwards work and reports a lost connection to its successor as a
@@ -74,7 +74,7 @@
         self._admitted = admitted
         self._deadline = process.clock.time() + admitted.timeout
         self._wait_until = now + wait
-        self._give_up_at = now + (wait or MOVE_TIMEOUT_SECONDS)
+        self._give_up_at = now + (wait or NEW_OWNER_TIMEOUT_SECONDS)
         self._may_be_duplicate = is_keyed
         self._is_accepted = False
         self._loss = None
@@ -118,7 +118,7 @@
                 last = error
             if clock.monotonic() >= self._give_up_at:
                 return self._conclude_without_owner(last)
-            clock.wait(self._process.is_stopping, MOVE_RETRY_SECONDS)
+            clock.wait(self._process.is_stopping, NEW_OWNER_RETRY_SECONDS)
 
     def _conclude_without_owner(self, last):
         request_id = self._admitted.request_id
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -24,7 +24,7 @@
 
 _SERVER_ERROR = 500
 _SLOT_ATTEMPTS = 4
-_MOVE_RETRY_SECONDS = 0.02
+_NEW_OWNER_RETRY_SECONDS = 0.02
 _SLOT_SHARE = 0.8
 DONE, LEAVING, FAILED = "done", "leaving", "failed"
 UNKNOWN, UNUSED, STALE = "unknown", "unused", "stale"
@@ -86,9 +86,9 @@
         budget = self._budgets.of(admitted.name)
         budget.earn()
         retries = admitted.policy.retries
-        number = void_slots = 0
+        retries_used = void_slots = 0
         while True:
-            is_last = number == retries or not budget.has_retry
+            is_last = retries_used == retries or not budget.has_retry
             try:
                 return self._attempt(state, is_last)
             except (StaleEpoch, GrantExpired) as error:
@@ -116,16 +116,16 @@
                 break
             if state.may_have_run and not admitted.policy.repeatable:
                 break
-            if number == retries or clock.monotonic() >= state.deadline:
+            if retries_used == retries or clock.monotonic() >= state.deadline:
                 break
             if not budget.spend():
                 break
-            number += 1
+            retries_used += 1
         raise state.error
 
     def _may_replace_slot(self, state, void_slots):
         clock = self._process.clock
-        clock.wait(self._process.is_stopping, _MOVE_RETRY_SECONDS)
+        clock.wait(self._process.is_stopping, _NEW_OWNER_RETRY_SECONDS)
         return void_slots < _SLOT_ATTEMPTS and clock.monotonic() < state.deadline
 
     @staticmethod
@@ -135,11 +135,11 @@
         A later attempt that was not sent must not cause the outcome "not run" for
         work that an earlier attempt may have run.
         """
-        kept = state.error
-        if kept is not None and getattr(kept, "outcome", "") == UNKNOWN:
+        previous = state.error
+        if previous is not None and getattr(previous, "outcome", "") == UNKNOWN:
             return
         outcome = getattr(error, "outcome", "not_run")
-        if kept is None or outcome in (UNKNOWN, FAILED) or not state.may_have_run:
+        if previous is None or outcome in (UNKNOWN, FAILED) or not state.may_have_run:
             state.error = error
 
     def _attempt(self, state, is_last):
@@ -212,7 +212,7 @@
     def _acquire_slot(self, state):
         admitted = state.admitted
         clock = self._process.clock
-        for number in range(_SLOT_ATTEMPTS):
+        for attempt in range(_SLOT_ATTEMPTS):
             remaining = state.deadline - clock.monotonic()
             try:
                 return self._slots.acquire(
@@ -227,9 +227,9 @@
                 is_refusal = isinstance(error, PeerRefused)
                 if is_refusal and not has_moved(error):
                     raise
-                if number + 1 == _SLOT_ATTEMPTS:
+                if attempt + 1 == _SLOT_ATTEMPTS:
                     raise
-            clock.wait(self._process.is_stopping, _MOVE_RETRY_SECONDS)
+            clock.wait(self._process.is_stopping, _NEW_OWNER_RETRY_SECONDS)
             if clock.monotonic() >= state.deadline:
                 break
         raise DeadlineOver(service=admitted.name)
--- a/papayapick/journal/queries.py
+++ b/papayapick/journal/queries.py
@@ -63,12 +63,12 @@
     work_index = WorkIndex()
     snapshot = table.read(snapshot_key(shard))
     if snapshot is not None:
-        for found in json.loads(objects.get(snapshot.value["object"])):
-            work_index.apply(record_from_mapping(found))
+        for mapping in json.loads(objects.get(snapshot.value["object"])):
+            work_index.apply(record_from_mapping(mapping))
     rows = table.scan(journal_prefix(shard))
     for row in rows:
-        for found in row.value["records"]:
-            work_index.apply(record_from_mapping(found))
+        for mapping in row.value["records"]:
+            work_index.apply(record_from_mapping(mapping))
     work_index.mark_started_as_run()
     version = snapshot.version if snapshot is not None else 0
     return JournalState(work_index, [row.key for row in rows], version)
--- a/papayapick/journal/records.py
+++ b/papayapick/journal/records.py
@@ -191,7 +191,7 @@
 _KINDS = {kind.kind: kind for kind in (Accepted, Started, Ended, Cancelled)}
 
 
-def record_from_mapping(found):
+def record_from_mapping(mapping):
     """Read a record from its stored form.
 
     Examples
@@ -199,5 +199,5 @@
     >>> record_from_mapping(Started("r", 1, [], 0.0).as_mapping()).attempt
     1
     """
-    fields = dict(found)
+    fields = dict(mapping)
     return _KINDS[fields.pop("kind")](**fields)
--- a/papayapick/membership/summary_exchange.py
+++ b/papayapick/membership/summary_exchange.py
@@ -27,7 +27,7 @@
     clock : Clock
     """
 
-    __slots__ = ("_clock", "_peers", "_sent", "_received")
+    __slots__ = ("_clock", "_peers", "_received", "_sent")
 
     def __init__(self, peers, clock):
         self._peers = peers
@@ -37,8 +37,8 @@
 
     def known_version(self, peer):
         """Return the version of the summary last received from a peer, or 0."""
-        found = self._received.get(peer.name)
-        return found[0] if found else 0
+        received = self._received.get(peer.name)
+        return received[0] if received else 0
 
     def add(self, answer, known, is_near):
         """Add the summary that the requester needs to an answer.
@@ -52,17 +52,19 @@
             Whether the requester is in this region.
         """
         if is_near:
-            found = self._far_peers_contacted()
+            peers = self._recent_far_peers()
         else:
-            found = [one for one in self._peers.live() if not self._peers.is_far(one)]
+            peers = [
+                peer for peer in self._peers.live() if not self._peers.is_far(peer)
+            ]
             # The summary contains the shards.
             answer.shards = None
-        if not found:
+        if not peers:
             return
-        version, placers = summary_of(found) if is_near else self._own_summary(found)
+        version, placers = summary_of(peers) if is_near else self._own_summary(peers)
         answer.summary_version = version
         if is_near:
-            oldest = max(self._peers.silence(peer) for peer in found)
+            oldest = max(self._peers.silence(peer) for peer in peers)
             # Rounded up, so that a summary never seems younger when it is relayed.
             answer.summary_age_milliseconds = math.ceil(oldest * 1000)
         if version != known:
@@ -89,46 +91,46 @@
         list_tag = answer.list_tag if self._peers.is_far(sender) else None
         heartbeat_at = now - (answer.summary_age_milliseconds or 0) / 1000
         known = {peer.name: peer for peer in self._peers.peers()}
-        for found in received[1]:
-            peer = known.get(found.host)
+        for placer in received[1]:
+            peer = known.get(placer.host)
             if peer is None or not self._peers.is_far(peer):
                 continue
             # Summaries of two relays may arrive in either order, and this process
             # also receives its own summary back.
             if heartbeat_at > peer.last_heartbeat_at or peer.last_heartbeat is None:
                 peer.last_heartbeat = Heartbeat(
-                    host=found.host,
+                    host=placer.host,
                     bundle_sequence=answer.bundle_sequence,
                     bundle_digest=answer.bundle_digest,
-                    shards=found.shards,
-                    draining=found.draining,
+                    shards=placer.shards,
+                    draining=placer.draining,
                     list_tag=list_tag,
                 )
                 peer.last_heartbeat_at = heartbeat_at
 
-    def _own_summary(self, found):
+    def _own_summary(self, peers):
         """Return the summary for other regions; its loads may be out of date."""
         now = self._clock.monotonic()
         served = {
             (peer.name, bool(peer.last_heartbeat.draining), shard.shard, shard.epoch)
-            for peer in found
+            for peer in peers
             for shard in peer.last_heartbeat.shards or [ShardSummary(shard="", epoch=0)]
         }
         sent, since, summary = self._sent
         if served != sent or now - since >= _LOADS_INTERVAL_SECONDS:
-            summary = summary_of(found)
+            summary = summary_of(peers)
             self._sent = (served, now, summary)
         return summary
 
-    def _far_peers_contacted(self):
+    def _recent_far_peers(self):
         # Return only placers with a recent heartbeat, and none if this process has
         # contacted no far placer: relaying a relayed summary would lose its age.
         allowed = self._peers.link_seconds * _FRESH_HEARTBEATS
-        far = [one for one in self._peers.peers() if self._peers.is_far(one)]
-        if not any(one.name in self._received for one in far):
+        far = [peer for peer in self._peers.peers() if self._peers.is_far(peer)]
+        if not any(peer.name in self._received for peer in far):
             return []
         return [
-            one
-            for one in far
-            if one.last_heartbeat and self._peers.silence(one) <= allowed
+            peer
+            for peer in far
+            if peer.last_heartbeat and self._peers.silence(peer) <= allowed
         ]
--- a/papayapick/ownership/commands.py
+++ b/papayapick/ownership/commands.py
@@ -39,16 +39,16 @@
             table, [Condition(seen.key, seen.version)], [Write(seen.key, value)]
         )
     except TransactionConflict as error:
-        now = read_shard(table, seen.shard)
+        current = read_shard(table, seen.shard)
         raise TakeoverLost(
-            shard=seen.shard, owner=now.owner, epoch=now.epoch
+            shard=seen.shard, owner=current.owner, epoch=current.epoch
         ) from error
     # Read back the version of the row. A newer owner may have claimed the shard
     # meanwhile, and the journal must not write under that owner's version.
-    taken = read_shard(table, seen.shard)
-    if (taken.owner, taken.epoch) != (host, seen.epoch + 1):
-        raise TakeoverLost(shard=seen.shard, owner=taken.owner, epoch=taken.epoch)
-    return taken
+    claimed = read_shard(table, seen.shard)
+    if (claimed.owner, claimed.epoch) != (host, seen.epoch + 1):
+        raise TakeoverLost(shard=seen.shard, owner=claimed.owner, epoch=claimed.epoch)
+    return claimed
 
 
 def release(table, owned):
--- a/papayapick/ownership/queries.py
+++ b/papayapick/ownership/queries.py
@@ -46,8 +46,8 @@
 
 def read_shards(table):
     """Return the existing ownership rows by shard; raise TableUnavailable."""
-    found = {}
+    rows = {}
     for row in table.scan(SHARD_PREFIX):
         shard = row.key.removeprefix(SHARD_PREFIX)
-        found[shard] = ShardRow.from_row(shard, row)
-    return found
+        rows[shard] = ShardRow.from_row(shard, row)
+    return rows
--- a/tests/gateway/test_submission.py
+++ b/tests/gateway/test_submission.py
@@ -6,7 +6,7 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.gateway.submission import MOVE_TIMEOUT_SECONDS, Submission
+from papayapick.gateway.submission import NEW_OWNER_TIMEOUT_SECONDS, Submission
 from papayapick.wire import PeerDisconnected, PeerRefused, PeerTimeout
 from papayapick.wire.messages import WorkState
 
@@ -81,7 +81,7 @@
     with pytest.raises(PeerRefused) as raised:
         submission(client).submit()
     assert raised.value.outcome == "unknown"
-    assert client.calls > MOVE_TIMEOUT_SECONDS
+    assert client.calls > NEW_OWNER_TIMEOUT_SECONDS
 
 
 def test_refusal_after_a_forwarded_loss_is_not_reported_as_not_run():
--- a/tests/gateway/test_urgent.py
+++ b/tests/gateway/test_urgent.py
@@ -51,10 +51,10 @@
     def __init__(self, clock):
         self.clock = clock
         self.script = []
-        self.given = []
+        self.time_limits = []
 
     def call(self, url, request_id, epoch, payload, seconds, traceparent, once):
-        self.given.append(seconds)
+        self.time_limits.append(seconds)
         step = self.script.pop(0) if self.script else "good"
         if step == "silent":
             self.clock.advance(seconds)
@@ -176,7 +176,7 @@
     """
     bench = Bench(timeout=2.0)
     assert bench.serve("silent").body == b"counts"
-    assert bench.instances.given[0] <= 1.0
+    assert bench.instances.time_limits[0] <= 1.0
     assert bench.clock.monotonic() < 2.0
     assert bench.slots.avoided == [[], ["i1"]]
 
@@ -185,7 +185,7 @@
     """Without a further retry, a shorter time limit would only lose slow answers."""
     bench = Bench(retries=0)
     bench.serve("good")
-    assert bench.instances.given == [2.0]
+    assert bench.instances.time_limits == [2.0]
 
 
 def test_time_limit_of_first_attempts_adapts_to_slow_requests():
@@ -197,14 +197,14 @@
     """
     bench = Bench()
     bench.calls._budgets = RetryBudgets(ratio=1.0, reserve=100.0)
-    cut = []
+    timeouts = []
     for number in range(400):
         is_slow = number > 50 and number % 10 == 0
         script = [0.5 if is_slow else 0.1, 0.1]
         bench.serve(*script)
-        cut.append(bench.slots.released[-2:].count("unknown"))
-    assert sum(cut[:200]) > 0
-    assert sum(cut[200:]) == 0
+        timeouts.append(bench.slots.released[-2:].count("unknown"))
+    assert sum(timeouts[:200]) > 0
+    assert sum(timeouts[200:]) == 0
 
 
 def test_exhausted_budget_ends_retries():
@@ -219,9 +219,9 @@
     for _ in range(100):
         with pytest.raises(BackendFailed):
             bench.serve("error", "error")
-        sent = len(bench.instances.given)
+        sent = len(bench.instances.time_limits)
     assert sent <= 112
-    assert bench.instances.given[-1] == 2.0
+    assert bench.instances.time_limits[-1] == 2.0
 
 
 def test_non_repeatable_work_is_not_sent_twice():
@@ -233,7 +233,7 @@
     bench = Bench(repeatable=False)
     with pytest.raises(CallAnswerMissing):
         bench.serve("cut", "good")
-    assert len(bench.instances.given) == 1
+    assert len(bench.instances.time_limits) == 1
     assert Bench(repeatable=False).serve("down", "good").body == b"counts"
 
 
@@ -269,5 +269,5 @@
     bench.slots.delay = 1.0
     with pytest.raises(DeadlineOver):
         bench.serve("good")
-    assert bench.instances.given == []
+    assert bench.instances.time_limits == []
     assert bench.slots.released == ["unused"]
--- a/tests/membership/test_announce.py
+++ b/tests/membership/test_announce.py
@@ -25,11 +25,15 @@
     prevent the notification of the others. A worker, which is no process of the
     cell, is not contacted.
     """
-    heard = []
+    received = []
 
     def answer(payload, peer, traceparent):
-        told = (payload.bundle_sequence, payload.bundle_digest, payload.head_version)
-        heard.append((peer.host, *told))
+        notified = (
+            payload.bundle_sequence,
+            payload.bundle_digest,
+            payload.head_version,
+        )
+        received.append((peer.host, *notified))
         return Heartbeat(host="one")
 
     with ThreadPoolExecutor(8) as executor, socket.create_server(("127.0.0.1", 0)) as s:
@@ -42,28 +46,28 @@
             entry("gateway-1", "gateway", server.address),
             entry("worker-1", "worker", server.address),
         ]
-        told = announce_head(entries, HEAD, KEY, Hello(host="operator ana"), 0.2)
+        notified = announce_head(entries, HEAD, KEY, Hello(host="operator ana"), 0.2)
         server.close()
-    assert told == ["gateway-1", "placer-1"]
-    assert heard == [("operator ana", 7, "digest", 3)] * 2
+    assert notified == ["gateway-1", "placer-1"]
+    assert received == [("operator ana", 7, "digest", 3)] * 2
 
 
 def test_a_notification_without_the_cell_key_is_rejected():
     """A client on the network without the cell key announces another bundle."""
-    heard = []
+    received = []
     with ThreadPoolExecutor(8) as executor:
         server = PeerServer(
             ("127.0.0.1", 0),
             KEY,
             Hello(host="one"),
-            lambda *message: heard.append(message),
+            lambda *message: received.append(message),
             executor,
         )
         server.start()
         entries = [entry("placer-1", "placer", server.address)]
-        told = announce_head(entries, HEAD, b"another key", Hello(host="x"), 0.2)
+        notified = announce_head(entries, HEAD, b"another key", Hello(host="x"), 0.2)
         server.close()
-    assert (told, heard) == ([], [])
+    assert (notified, received) == ([], [])
 
 
 class FakeProcess:
@@ -72,11 +76,11 @@
     def __init__(self):
         self.polls = 0
         self.newest = 0
-        self.watcher = SimpleNamespace(sequence=4, hear=self.put_in_force)
+        self.watcher = SimpleNamespace(sequence=4, hear=self.activate)
         self.peers = SimpleNamespace(note_head=self.note_head)
-        self.executor = SimpleNamespace(submit=lambda look: look())
+        self.executor = SimpleNamespace(submit=lambda task: task())
 
-    def put_in_force(self, head, fetch):
+    def activate(self, head, fetch):
         self.watcher.sequence = max(self.watcher.sequence, head.sequence)
 
     def note_head(self, version):
--- a/tests/ownership/test_grants.py
+++ b/tests/ownership/test_grants.py
@@ -24,9 +24,9 @@
             wait_milliseconds=int(wait * 1000),
             run_milliseconds=int(run * 1000),
         )
-        asked = cell.clock.monotonic()
+        requested_at = cell.clock.monotonic()
         granted = shard.slot_allocator.request(wanted, 8)
-        grant = Grant(granted, None, asked + wait + WINDOW)
+        grant = Grant(granted, None, requested_at + wait + WINDOW)
         while is_usable(grant, cell.clock.monotonic()):
             assert list(shard.slot_allocator.in_doubt_instances()) == []
             cell.clock.advance(0.1)
