--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -1,4 +1,4 @@
-"""Hand durable work to the shard that journals it, and ask what became of it."""
+"""Submit durable work to the owner of its shard, and query and cancel it."""
 
 import base64
 import json
@@ -6,8 +6,8 @@
 from papayapick.gateway.problems import Answer, problem
 from papayapick.gateway.submission import (
     ANSWER_SECONDS,
-    MOVE_RETRY_SECONDS,
-    MOVE_TIMEOUT_SECONDS,
+    NEW_OWNER_RETRY_SECONDS,
+    NEW_OWNER_TIMEOUT_SECONDS,
     Submission,
 )
 from papayapick.journal import WorkUnknown
@@ -42,13 +42,14 @@
         self._process = process
 
     def submit(self, admitted, is_keyed=True):
-        """Hand work over; answer 202, or the whole answer where it is urgent.
+        """Submit work; answer 202, or with the result if the work is urgent.
 
         Parameters
         ----------
         admitted : AdmittedRequest
         is_keyed : bool
-            Whether an earlier request may have had the same id.
+            Whether the caller sent an idempotency key, so that an earlier request
+            may have had the same id.
 
         Returns
         -------
@@ -73,7 +74,7 @@
         return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
 
     def cancel(self, request_id):
-        """Cancel a request; the answer tells whether it had started."""
+        """Cancel a request; return its state, which shows whether it had started."""
         shard = self._shard_from_id(request_id)
         wanted = WorkCancel(shard=shard, request_id=request_id)
         return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
@@ -81,18 +82,18 @@
     def _ask(self, wanted, seconds):
         clock = self._process.clock
         traceparent = self._process.tracing.traceparent()
-        give_up_at = clock.monotonic() + MOVE_TIMEOUT_SECONDS
+        deadline = clock.monotonic() + NEW_OWNER_TIMEOUT_SECONDS
         while True:
             try:
                 peer = self._process.peers.owner_of(wanted.shard)
                 return peer.client.ask(wanted, seconds, traceparent)
             except (ShardUnserved, PeerUnreachable):
-                if clock.monotonic() >= give_up_at:
+                if clock.monotonic() >= deadline:
                     raise
             except PeerRefused as error:
-                if not indicates_new_owner(error) or clock.monotonic() >= give_up_at:
+                if not indicates_new_owner(error) or clock.monotonic() >= deadline:
                     raise
-            clock.wait(self._process.is_stopping, MOVE_RETRY_SECONDS)
+            clock.wait(self._process.is_stopping, NEW_OWNER_RETRY_SECONDS)
 
     def _shard_from_id(self, request_id):
         shard = request_id.rpartition(".")[0]
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -1,4 +1,4 @@
-"""Serve urgent repeatable requests: a slot, a call, the whole answer."""
+"""Serve urgent repeatable requests by calling backend servers directly."""
 
 from papayapick.clients import (
     AnswerInvalid,
@@ -24,14 +24,14 @@
 
 _SERVER_ERROR = 500
 _SLOT_ATTEMPTS = 4
-_MOVE_RETRY_SECONDS = 0.02
+_NEW_OWNER_RETRY_SECONDS = 0.02
 _SLOT_SHARE = 0.8
 DONE, LEAVING, FAILED = "done", "leaving", "failed"
 UNKNOWN, UNUSED, STALE = "unknown", "unused", "stale"
 
 
 class _RequestState:
-    """Hold what stays the same over the tries of one request."""
+    """Hold the state that the attempts of one request share."""
 
     __slots__ = ("admitted", "arrived", "avoid", "deadline", "error", "may_have_run")
 
@@ -66,7 +66,7 @@
         self._timeouts = timeouts
 
     def serve(self, admitted):
-        """Return the whole answer to one request.
+        """Return the complete answer to one request.
 
         Parameters
         ----------
@@ -79,22 +79,22 @@
         Raises
         ------
         PapayapickError
-            ``outcome`` tells what became of the work.
+            Its ``outcome`` states the outcome of the work.
         """
         clock = self._process.clock
         state = _RequestState(admitted, clock.monotonic())
         budget = self._budgets.of(admitted.name)
         budget.earn()
         retries = admitted.policy.retries
-        number = void_slots = 0
+        retries_used = void_slots = 0
         while True:
-            is_last = number == retries or not budget.can_retry
+            is_last = retries_used == retries or not budget.can_retry
             try:
                 return self._attempt(state, is_last)
             except (StaleEpoch, GrantExpired) as error:
-                # The slot was void, so this was no try. While a shard changes
-                # hands many requests meet that at once, and would use up the
-                # budget of retries.
+                # The slot was void, so this is not counted as an attempt. It
+                # happens to many requests at once while a shard changes its
+                # owner, and would exhaust the retry budget.
                 self._note_error(state, error)
                 void_slots += 1
                 if self._may_replace_slot(state, void_slots):
@@ -111,35 +111,35 @@
                 state.may_have_run = True
                 self._note_error(state, error)
             except PapayapickError as error:
-                # No slot for this try; what an earlier one did still stands.
+                # No slot for this attempt; the effect of earlier ones remains.
                 self._note_error(state, error)
                 break
             if state.may_have_run and not admitted.policy.repeatable:
                 break
-            if number == retries or clock.monotonic() >= state.deadline:
+            if retries_used == retries or clock.monotonic() >= state.deadline:
                 break
             if not budget.spend():
                 break
-            number += 1
+            retries_used += 1
         raise state.error
 
     def _may_replace_slot(self, state, void_slots):
         clock = self._process.clock
-        clock.wait(self._process.is_stopping, _MOVE_RETRY_SECONDS)
+        clock.wait(self._process.is_stopping, _NEW_OWNER_RETRY_SECONDS)
         return void_slots < _SLOT_ATTEMPTS and clock.monotonic() < state.deadline
 
     @staticmethod
     def _note_error(state, error):
-        """Keep the error that tells the caller the truth.
+        """Keep the error whose outcome holds for all attempts together.
 
-        A later try that was not sent must not turn into "not run" what an
-        earlier try may have run.
+        A later attempt that was not sent must not cause the outcome "not run" for
+        work that an earlier attempt may have run.
         """
-        kept = state.error
-        if kept is not None and getattr(kept, "outcome", "") == UNKNOWN:
+        previous = state.error
+        if previous is not None and getattr(previous, "outcome", "") == UNKNOWN:
             return
         outcome = getattr(error, "outcome", "not_run")
-        if kept is None or outcome in (UNKNOWN, FAILED) or not state.may_have_run:
+        if previous is None or outcome in (UNKNOWN, FAILED) or not state.may_have_run:
             state.error = error
 
     def _attempt(self, state, is_last):
@@ -169,7 +169,7 @@
             outcome = STALE
             raise
         except (AnswerMissing, AnswerInvalid):
-            # The backend server may still run it: the slot is not free yet.
+            # The backend server may still run the call: the slot is not free yet.
             outcome = UNKNOWN
             self._timeouts.observe(admitted.name, clock.monotonic() - started_at)
             raise
@@ -198,10 +198,10 @@
         return DONE, answer
 
     def _attempt_seconds(self, state, is_last, now):
-        """Return how long one try may take.
+        """Return how long one attempt may take.
 
-        A try is cut short only where another may follow: without a retry left,
-        a slow answer is still better than none.
+        An attempt gets a shorter time limit only if another may follow: without
+        a retry left, a slow answer is better than none.
         """
         policy = state.admitted.policy
         remaining = min(state.deadline - now, policy.run_seconds)
@@ -212,7 +212,7 @@
     def _acquire_slot(self, state):
         admitted = state.admitted
         clock = self._process.clock
-        for number in range(_SLOT_ATTEMPTS):
+        for attempt in range(_SLOT_ATTEMPTS):
             remaining = state.deadline - clock.monotonic()
             try:
                 return self._slots.acquire(
@@ -227,15 +227,15 @@
                 is_refusal = isinstance(error, PeerRefused)
                 if is_refusal and not indicates_new_owner(error):
                     raise
-                if number + 1 == _SLOT_ATTEMPTS:
+                if attempt + 1 == _SLOT_ATTEMPTS:
                     raise
-            clock.wait(self._process.is_stopping, _MOVE_RETRY_SECONDS)
+            clock.wait(self._process.is_stopping, _NEW_OWNER_RETRY_SECONDS)
             if clock.monotonic() >= state.deadline:
                 break
         raise DeadlineExceeded(service=admitted.name)
 
     def _slot_wait_seconds(self, service, remaining):
-        """Return how long a request may wait and still be answered in time."""
+        """Return how long a request may wait for a slot and be answered in time."""
         usual = self._timeouts.usual_seconds(service)
         if usual is None:
             return max(0.0, remaining * _SLOT_SHARE)
