--- a/papayapick/platform/__init__.py
+++ b/papayapick/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Speak the platform's language: names, formats and calls; nothing that decides.
+"""Clients and codecs for the platform's HTTP interfaces; no scheduling decisions.
 
-Each body is decoded once into types of the product whose fields say what they
-hold. No other package knows the names used on the wire.
+Each body is decoded once into types of papayapick. No other package uses the names of
+the platform's formats.
 """
--- a/papayapick/platform/advice.py
+++ b/papayapick/platform/advice.py
@@ -1,4 +1,4 @@
-"""Ask the advice service which workers may run a step."""
+"""Client of the advice service, which says which workers may run a step."""
 
 import json
 
@@ -7,8 +7,8 @@
 
 __all__ = ["AdviceClient"]
 
-# A call for 100 workers of the slowest queue takes a second and a half of the
-# service's own time; more than this means that the call is lost.
+# A call that takes this much longer than expected counts as lost. For comparison: a
+# call for 100 workers of the slowest queue is expected to take 1.5 s.
 _CALL_SLACK_SECONDS = 1.0
 
 
@@ -18,6 +18,7 @@
     Parameters
     ----------
     address : str
+        ``IP:PORT``.
     pool : HttpPool
     """
 
@@ -37,7 +38,7 @@
         workers : list of str
             At most 100.
         expected_seconds : float
-            What the call takes when nothing waits before it.
+            Duration of the call if no other call is queued before it.
 
         Returns
         -------
@@ -47,6 +48,7 @@
         Raises
         ------
         CallFailed
+            The service refused the call, or its answer is missing or invalid.
         """
         body = json.dumps({"step": step_name, "workers": workers}).encode()
         seconds = expected_seconds + _CALL_SLACK_SECONDS
--- a/papayapick/platform/configuration.py
+++ b/papayapick/platform/configuration.py
@@ -9,12 +9,13 @@
 CONFIGURATION_KEY = "config"
 
 
-def decode_configuration(found):
-    """Return the configuration that a row of the operator holds.
+def decode_configuration(value):
+    """Return the configuration held by a row of the operator.
 
     Parameters
     ----------
-    found : dict
+    value : dict
+        Value of the row.
 
     Returns
     -------
@@ -23,14 +24,15 @@
     Raises
     ------
     BodyInvalid
+        A field is missing or has a wrong type.
     """
     try:
-        services = {one["name"]: one for one in found["services"]}
-        queues = [_queue(route, services) for route in found["routes"]]
+        services = {service["name"]: service for service in value["services"]}
+        queues = [_queue(route, services) for route in value["routes"]]
         return CellConfiguration(
-            version=found["version"],
+            version=value["version"],
             queues=queues,
-            body_limit_bytes=found["limits"]["max_body_bytes"],
+            body_limit_bytes=value["limits"]["max_body_bytes"],
         )
     except (KeyError, TypeError, AttributeError) as error:
         raise BodyInvalid(reason=f"configuration: {error!r}") from error
@@ -45,7 +47,7 @@
         path_prefix=route["path_prefix"],
         pool=route["service"],
         priority=route.get("priority", 0),
-        # Bounds the runs that end as failed; starts have no bound.
+        # Limits how often a task may fail; the number of starts is not limited.
         failure_limit=route.get("attempts", 1),
         stretch=route.get("stretch", 1.0),
         objective_seconds=route.get("slo_ms", 0) / 1000,
@@ -55,9 +57,9 @@
     )
 
 
-def _advice(found):
+def _advice(policy):
     return AdvicePolicy(
-        fixed_seconds=found["decide_ms"] / 1000,
-        worker_seconds=found["each_ms"] / 1000,
-        valid_seconds=found["valid_ms"] / 1000,
+        fixed_seconds=policy["decide_ms"] / 1000,
+        worker_seconds=policy["each_ms"] / 1000,
+        valid_seconds=policy["valid_ms"] / 1000,
     )
--- a/papayapick/platform/machines.py
+++ b/papayapick/platform/machines.py
@@ -1,4 +1,4 @@
-"""Read which machines there are, and order their upkeep."""
+"""Client of the machine service: list machines and order their upkeep."""
 
 import enum
 import json
@@ -9,26 +9,28 @@
 
 __all__ = ["Machine", "MachineClient", "UpkeepOutcome"]
 
-# A list of 200 machines is answered in 10 ms; past this the next look asks again.
+# A list of 200 machines is answered in 10 ms. After this time the call counts as failed
+# and the next poll repeats it.
 _CALL_SECONDS = 0.8
-# More pages than any pool of the target has: a token that never ends is a fault.
+# Guards against a service whose answers always name a next page; no pool is expected to
+# have as many pages.
 _PAGES_LIMIT = 100
 
 
 class UpkeepOutcome(enum.Enum):
-    """Tell what became of an order for an upkeep."""
+    """Name the outcomes of an order for upkeep."""
 
-    # It has begun, by this order or an earlier one.
+    # The upkeep has begun, through this order or an earlier one.
     BEGUN = "begun"
-    # The machine is not up, or is leaving.
+    # The machine is down or is being removed.
     BUSY = "busy"
-    # A newer owner has ordered something for the machine.
+    # The machine has accepted an order of a newer owner.
     FENCED = "fenced"
     NOT_IN_WAVE = "not in wave"
     NO_MACHINE = "no machine"
-    # Too many calls, or the service is unwell: nothing was done.
+    # The service refused the call, is overloaded or failing, or was not reached.
     REFUSED = "refused"
-    # No answer: it may have begun, or may begin later.
+    # No valid answer: the upkeep may have begun or may still begin.
     UNKNOWN = "unknown"
 
 
@@ -40,15 +42,15 @@
 
 
 class Machine:
-    """Hold one machine.
+    """Hold the state of one machine.
 
     Parameters
     ----------
     name, pool : str
     is_up : bool
-        False while it is moved, has its upkeep, or is down: nothing runs on it.
+        False while the machine is moved, in upkeep or down; then nothing runs on it.
     worker : str
-        Id of the life that it has now; empty where it has none.
+        Id of the worker that runs on it now; empty if there is none.
     is_in_upkeep : bool
     """
 
@@ -68,7 +70,7 @@
     Parameters
     ----------
     address : str
-        ``IP:PORT``; empty where there is none.
+        ``IP:PORT``; empty if there is no such service.
     pool : HttpPool
     """
 
@@ -93,34 +95,34 @@
         Raises
         ------
         CallFailed
-            Also where a page is missing: a part of the list tells nothing of the
-            machines that are not in it.
+            Also if a single page is missing: a partial list does not show whether the
+            other machines exist.
         """
-        found, token = [], ""
+        machines, token = [], ""
         for _ in range(_PAGES_LIMIT):
             page = self._page(token)
             try:
-                found += [_machine(one) for one in page["machines"]]
+                machines += [_machine(entry) for entry in page["machines"]]
                 token = page.get("next_token")
             except (KeyError, TypeError, AttributeError) as error:
                 raise CallFailed(address=self._address, status=200) from error
             if not token:
-                return found
+                return machines
         raise CallFailed(address=self._address, status=200)
 
     def begin_upkeep(self, machine, wave, holder, token):
-        """Order the upkeep of a machine; all that runs there ends at once.
+        """Order the upkeep of a machine, which ends everything that runs on it.
 
-        The same order again has the same answer and no other effect.
+        The order is idempotent: a repeated one has the same answer and no effect.
 
         Parameters
         ----------
         machine : str
         wave : int
         holder : str
-            Host that orders it.
+            Host that gives the order.
         token : int
-            Fencing token: a machine takes no order under a lower one.
+            Fencing token: a machine refuses orders with a lower one than it has seen.
 
         Returns
         -------
@@ -169,11 +171,11 @@
     return UpkeepOutcome.REFUSED
 
 
-def _machine(found):
+def _machine(entry):
     return Machine(
-        name=found["machine"],
-        pool=found["pool"],
-        is_up=found["state"] == "up",
-        worker=found.get("id") or "",
-        is_in_upkeep=found["state"] == "upkeep",
+        name=entry["machine"],
+        pool=entry["pool"],
+        is_up=entry["state"] == "up",
+        worker=entry.get("id") or "",
+        is_in_upkeep=entry["state"] == "upkeep",
     )
--- a/papayapick/platform/requests.py
+++ b/papayapick/platform/requests.py
@@ -1,4 +1,4 @@
-"""Decode what callers send and encode what they are answered."""
+"""Decode requests of callers and encode the answers to them."""
 
 import json
 import re
@@ -21,7 +21,7 @@
 
 
 def is_identifier(text):
-    """Return whether a text is the id of a job.
+    """Return whether a string has the form of a job id.
 
     Examples
     --------
@@ -32,7 +32,7 @@
 
 
 def decode_job(identifier, queue, body, now):
-    """Check the body of a submission.
+    """Decode and validate the body of a submission.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     queue : Queue
     body : bytes
     now : float
-        Unix seconds of the acceptance.
+        Time of acceptance, in Unix seconds.
 
     Returns
     -------
@@ -51,13 +51,13 @@
     BodyInvalid
     """
     try:
-        found = json.loads(body)
-        payload = found["spec"]
-        steps = [_step(number, one) for number, one in enumerate(found["phases"])]
+        document = json.loads(body)
+        payload = document["spec"]
+        steps = [_step(index, phase) for index, phase in enumerate(document["phases"])]
         if not isinstance(payload, str) or not steps:
-            raise ValueError("a text and at least one step are needed")
+            raise ValueError("spec must be a string, and phases must not be empty")
         if len(payload.encode()) > _PAYLOAD_LIMIT_BYTES:
-            raise ValueError("the text is too long")
+            raise ValueError("spec is too long")
         return JobDocument(
             identifier=identifier,
             queue=queue.name,
@@ -65,9 +65,9 @@
             payload=payload,
             steps=steps,
             accepted_at=now,
-            occurrences=found.get("times", 0),
-            first_due=found.get("start_at_ms", 0) / 1000,
-            interval_seconds=found.get("interval_ms", 0) / 1000,
+            occurrences=document.get("times", 0),
+            first_due=document.get("start_at_ms", 0) / 1000,
+            interval_seconds=document.get("interval_ms", 0) / 1000,
             policy=queue.policy_record(),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -75,39 +75,39 @@
 
 
 def encode_state(status):
-    """Return the body that tells the state of a job."""
+    """Return the body that reports the state of a job."""
     return json.dumps({"state": _STATES[status]}).encode()
 
 
 def encode_waiting(count):
-    """Return the body that tells how many jobs of a queue wait."""
+    """Return the body that reports how many jobs of a queue are waiting."""
     return json.dumps({"queued_jobs": count}).encode()
 
 
-def _step(number, found):
-    after = found.get("after", [])
-    count = found["task_count"]
+def _step(index, phase):
+    after = phase.get("after", [])
+    count = phase["task_count"]
     if not isinstance(count, int) or count < 1:
-        raise ValueError("a step needs a task")
-    if any(not isinstance(one, int) or not 0 <= one < number for one in after):
-        raise ValueError("a step follows only earlier ones")
+        raise ValueError("task_count must be a positive integer")
+    if any(not isinstance(other, int) or not 0 <= other < index for other in after):
+        raise ValueError("after must name earlier phases by their index")
     return Step(
         tasks=count,
         demand=Amounts(
-            found.get("cpu", 0), found.get("mem_mb", 0), found.get("gpu", 0)
+            phase.get("cpu", 0), phase.get("mem_mb", 0), phase.get("gpu", 0)
         ),
-        estimate_seconds=found.get("estimate_ms", 0) / 1000,
+        estimate_seconds=phase.get("estimate_ms", 0) / 1000,
         after=after,
-        is_gang=bool(found.get("gang")),
-        is_rack_bound=bool(found.get("same_rack")),
-        label=found.get("requires", ""),
-        preferred_rack=found.get("data_rack", ""),
-        tasks_per_worker=found.get("anti_affinity", 0),
-        has_checkpoints=bool(found.get("checkpointing")),
-        allows_copies=bool(found.get("speculative")),
-        is_lasting=bool(found.get("long_running")),
-        image=found.get("image", ""),
-        tail_limit_seconds=found.get("target_ms", 0) / 1000,
-        is_filler=bool(found.get("fills")),
-        unavailable_limit=found.get("may_miss", 0),
+        is_gang=bool(phase.get("gang")),
+        is_rack_bound=bool(phase.get("same_rack")),
+        label=phase.get("requires", ""),
+        preferred_rack=phase.get("data_rack", ""),
+        tasks_per_worker=phase.get("anti_affinity", 0),
+        has_checkpoints=bool(phase.get("checkpointing")),
+        allows_copies=bool(phase.get("speculative")),
+        is_lasting=bool(phase.get("long_running")),
+        image=phase.get("image", ""),
+        tail_limit_seconds=phase.get("target_ms", 0) / 1000,
+        is_filler=bool(phase.get("fills")),
+        unavailable_limit=phase.get("may_miss", 0),
     )
--- a/papayapick/platform/settings.py
+++ b/papayapick/platform/settings.py
@@ -11,16 +11,17 @@
 
 
 class PlatformSettings:
-    """Hold what an entry host is told about itself and its surroundings.
+    """Hold the platform's settings of an entry host.
 
     Addresses are ``IP:PORT``; times are in seconds.
 
     Parameters
     ----------
-    found : dict
-        The decoded file. Fields that are not known are ignored.
+    document : dict
+        The decoded file. Unknown fields are ignored.
     metrics_port : int
-        On the host's own address; 0 for none, also where the platform uses it.
+        Port for metrics on the host's own address, or 0 for none. The attribute is also
+        0 if the platform has assigned this port to another purpose.
     """
 
     __slots__ = (
@@ -46,25 +47,25 @@
         "zone",
     )
 
-    def __init__(self, found, metrics_port=0):
-        bounds = found["bounds"]
-        listen = found["listen"]
-        self.host_name = _text(found["node"])
-        self.zone = _text(found["zone"])
-        self.region = _text(found["region"])
-        self.peer_address = (_text(found["ip"]), int(found["port_range"][0]))
+    def __init__(self, document, metrics_port=0):
+        bounds = document["bounds"]
+        listen = document["listen"]
+        self.host_name = _text(document["node"])
+        self.zone = _text(document["zone"])
+        self.region = _text(document["region"])
+        self.peer_address = (_text(document["ip"]), int(document["port_range"][0]))
         self.frontend_address = _address(listen["frontend"])
         self.readiness_address = _address(listen["readiness"])
-        # The platform draws the other ports anew for each deployment: callers must not
-        # be answered with metrics where it has drawn this one.
-        drawn = (self.peer_address, self.frontend_address, self.readiness_address)
-        is_drawn = metrics_port in [port for _, port in drawn]
-        self.metrics_port = 0 if is_drawn else metrics_port
-        self.store_address = _text(found["platform"]["address"])
-        self.advice_address = _text(found.get("advice", ""))
-        self.machines_address = _text(found.get("cloud_api", {}).get("address", ""))
-        limits = found.get("limits", {})
-        # A share of a core, and how fast that core is.
+        # The platform assigns the other ports anew for each deployment and may choose
+        # the configured metrics port, where callers must not be answered with metrics.
+        assigned = (self.peer_address, self.frontend_address, self.readiness_address)
+        is_assigned = metrics_port in [port for _, port in assigned]
+        self.metrics_port = 0 if is_assigned else metrics_port
+        self.store_address = _text(document["platform"]["address"])
+        self.advice_address = _text(document.get("advice", ""))
+        self.machines_address = _text(document.get("cloud_api", {}).get("address", ""))
+        limits = document.get("limits", {})
+        # The share of a core that the process may use, times the speed of that core.
         self.processors = float(limits.get("cpu_share", 1)) * limits.get("cores", 1)
         self.grace_seconds = float(bounds["grace_s"])
         self.status_seconds = float(bounds["status_s"])
@@ -78,24 +79,25 @@
 
     @classmethod
     def from_config(cls, environment=None, metrics_port=0):
-        """Read the file that the environment names.
+        """Read the file named by the environment variable PAPAYAPICK_CONFIG.
 
         Raises
         ------
         PlatformSettingsInvalid
-            Tells the field that is missing or of another type.
+            The file is unreadable, or the field that the error names is missing or has
+            a wrong type.
         """
         environment = os.environ if environment is None else environment
         path = environment.get(SETTINGS_VARIABLE, "")
         try:
             with open(path, "rb") as file:
-                found = tomllib.load(file)
+                document = tomllib.load(file)
         except OSError as error:
             raise PlatformSettingsInvalid(path=path, reason=error.strerror) from error
         except ValueError as error:
             raise PlatformSettingsInvalid(path=path, reason=str(error)) from error
         try:
-            return cls(found, metrics_port)
+            return cls(document, metrics_port)
         except KeyError as error:
             reason = f"field {error.args[0]} is missing"
             raise PlatformSettingsInvalid(path=path, reason=reason) from error
@@ -103,14 +105,14 @@
             raise PlatformSettingsInvalid(path=path, reason=str(error)) from error
 
 
-def _text(found):
-    if not isinstance(found, str):
-        raise ValueError(f"{found!r} is no text")
-    return found
+def _text(value):
+    if not isinstance(value, str):
+        raise ValueError(f"{value!r} is not a string")
+    return value
 
 
-def _address(found):
-    host, separator, port = _text(found).rpartition(":")
+def _address(value):
+    host, separator, port = _text(value).rpartition(":")
     if not separator:
-        raise ValueError(f"{found!r} is no IP:PORT")
+        raise ValueError(f"{value!r} is not of the form IP:PORT")
     return host, int(port)
--- a/papayapick/platform/store.py
+++ b/papayapick/platform/store.py
@@ -1,4 +1,4 @@
-"""Read and change rows of the platform's store."""
+"""Client of the platform's store, which holds tables of versioned rows."""
 
 import base64
 import json
@@ -17,15 +17,15 @@
 
 __all__ = ["Store"]
 
-# A slow store, 60 times its usual time, still answers a transaction in half a
-# second; past this, the way to it is cut or it is down.
+# A store that is 60 times slower than usual still answers a transaction in half a
+# second. After this time, it counts as down or unreachable.
 _CALL_SECONDS = 1.2
-# What the answer of a waiting call may take beyond its wait.
+# Time that the answer of a long poll may take beyond the requested wait.
 _FEED_SLACK_SECONDS = 0.6
 
 
 class Store:
-    """Call the store; every method is one call and tries once.
+    """Call the store; each call is sent once and not retried.
 
     Parameters
     ----------
@@ -34,12 +34,12 @@
     pool : HttpPool
     clock : Clock, optional
     observe : callable, optional
-        Called with operation, outcome and seconds of each call.
+        Called after each call with its operation, outcome and duration in seconds.
 
     Notes
     -----
-    Each method raises ``StoreRefused`` where nothing was done and
-    ``TableUnavailable`` where a write may have been done, or may be done later.
+    Each method raises ``StoreRefused`` if the call had no effect, and
+    ``TableUnavailable`` if a write may have been applied or may still be applied.
     """
 
     __slots__ = ("_base", "_clock", "_observe", "_pool")
@@ -60,13 +60,14 @@
         expectations : list of Expectation
         writes : list of RowWrite
         spans_partitions : bool
+            Whether the rows belong to more than one partition.
         seconds : float
-            So long an answer is waited for.
+            Time limit for the answer.
 
         Returns
         -------
         int
-            Version of all rows written.
+            Version of all rows that were written.
 
         Raises
         ------
@@ -98,8 +99,8 @@
         data = json.dumps(body, separators=(",", ":")).encode()
         answer = self._call("transact", "POST", "/rows-tx", data, seconds)
         if answer.status == 412:
-            found = _json(answer)
-            raise ConditionFailed([_row(row) for row in found.get("rows", ())])
+            body = _json(answer)
+            raise ConditionFailed([_row(row) for row in body.get("rows", ())])
         if answer.status != 200:
             raise StoreRefused()
         return _json(answer)["ver"]
@@ -107,17 +108,17 @@
     def read(
         self, table, partition, first="", end="", limit=500, seconds=_CALL_SECONDS
     ):
-        """Return a page of rows in order of their keys.
+        """Return a page of rows, ordered by key.
 
         Parameters
         ----------
         table, partition : str
         first, end : str
-            Keys; the range excludes the second one.
+            Range of keys, without ``end``; an empty string means no bound.
         limit : int
-            Rows, at most 500.
+            Maximum number of rows, at most 500.
         seconds : float
-            So long an answer is waited for.
+            Time limit for the answer.
 
         Returns
         -------
@@ -140,7 +141,8 @@
         -------
         rows : list of StoredRow
         version : int
-            Of the first page: changes since then are to be followed.
+            Version of the first page, from which to follow changes: later pages may
+            be newer.
         """
         rows, first, version = [], "", None
         while True:
@@ -152,17 +154,17 @@
             first = page.rows[-1].key + "\0"
 
     def follow(self, table, version, wait_seconds):
-        """Wait for changes of a table since a version.
+        """Wait for changes to a table since a version.
 
         Returns
         -------
         Page
-            Without rows where nothing has changed.
+            Without rows if nothing has changed.
 
         Raises
         ------
         HistoryLost
-            The table is to be read again.
+            The store no longer has these changes; the table must be read again.
         """
         wait = int(wait_seconds * 1000)
         query = _query({"table": table, "after": version, "wait_ms": wait})
@@ -212,22 +214,22 @@
         raise TableUnavailable() from error
 
 
-def _page(found):
-    rows = [_row(row) for row in found.get("rows", ())]
-    return Page(rows, found["ver"], bool(found.get("more_pages")))
+def _page(body):
+    rows = [_row(row) for row in body.get("rows", ())]
+    return Page(rows, body["ver"], bool(body.get("more_pages")))
 
 
-def _row(found):
-    is_deleted = bool(found.get("deleted"))
-    value = None if is_deleted else _decoded(found.get("value", ""))
+def _row(entry):
+    is_deleted = bool(entry.get("deleted"))
+    value = None if is_deleted else _decoded(entry.get("value", ""))
     return StoredRow(
-        found["table"], found["part"], found["key"], value, found["ver"], is_deleted
+        entry["table"], entry["part"], entry["key"], value, entry["ver"], is_deleted
     )
 
 
 def _decoded(text):
-    # Other writers share some tables: bytes that are no JSON object are theirs
-    # to mend, and stand for no value here.
+    # Other programs write to some of the tables. Their values may be no JSON objects;
+    # such a row is treated as one without a value.
     try:
         value = json.loads(base64.b64decode(text))
     except (ValueError, TypeError, RecursionError):
--- a/papayapick/platform/waves.py
+++ b/papayapick/platform/waves.py
@@ -1,4 +1,4 @@
-"""Decode the operator's waves of upkeep, and encode how far they are."""
+"""Decode the operator's waves of upkeep and encode their status."""
 
 from papayapick.placement.waves import Wave
 from papayapick.platform.exceptions import BodyInvalid
@@ -12,20 +12,20 @@
 ]
 
 STATUS_TABLE = "status"
-# Begins the key of a wave's row, and of the row that tells how far it is.
+# Prefix of the keys of a wave's row and of its status row.
 WAVE_PREFIX = "wave/"
 _RUNNING = "running"
 _COMPLETED = "completed"
 
 
-def decode_wave(found):
-    """Return the wave that a row of the operator holds.
+def decode_wave(value):
+    """Return the wave held by a row of the operator.
 
     Parameters
     ----------
-    found : dict
-        ``wave`` is its number; ``maximum`` bounds the machines that are away at once,
-        ``duration_s`` the time for all of them.
+    value : dict
+        ``wave`` is its number, ``maximum`` the number of machines that may be in upkeep
+        at once, and ``duration_s`` the time limit for all of them.
 
     Returns
     -------
@@ -34,23 +34,24 @@
     Raises
     ------
     BodyInvalid
+        A field is missing or has a wrong type.
     """
     try:
         return Wave(
-            number=int(found["wave"]),
-            machines=[str(machine) for machine in found["machines"]],
-            seconds=float(found["duration_s"]),
-            at_once=int(found["maximum"]),
+            number=int(value["wave"]),
+            machines=[str(machine) for machine in value["machines"]],
+            seconds=float(value["duration_s"]),
+            at_once=int(value["maximum"]),
         )
     except (KeyError, TypeError, ValueError) as error:
         raise BodyInvalid(reason=f"wave: {error!r}") from error
 
 
 def encode_wave_status(is_over):
-    """Return the value of the row that tells how far a wave is."""
+    """Return the value of a wave's status row."""
     return {"state": _COMPLETED if is_over else _RUNNING}
 
 
-def is_wave_over(found):
-    """Return whether the value of such a row says that the wave is done."""
-    return found is not None and found.get("state") == _COMPLETED
+def is_wave_over(status):
+    """Return whether the value of a status row, or None, says that the wave is over."""
+    return status is not None and status.get("state") == _COMPLETED
--- a/papayapick/platform/workers.py
+++ b/papayapick/platform/workers.py
@@ -1,4 +1,4 @@
-"""Call workers: start, stop and pace tasks, renew leases, read ends."""
+"""Client of workers: start, stop and pace runs, renew leases, read ended runs."""
 
 import json
 import re
@@ -18,17 +18,17 @@
 __all__ = ["WORKERS_TABLE", "WorkerClient", "decode_registration"]
 
 WORKERS_TABLE = "servers"
-# IP and port; a path may follow.
+# Host and port, optionally followed by a path.
 _ADDRESS = re.compile(r"[0-9A-Za-z.-]+:[0-9]{1,5}(/\S*)?")
-# An order is answered in 3 ms, or 50 across the link between regions. Past this it
-# counts as unanswered: it is stopped, and the task is placed elsewhere.
+# An order is answered within 3 ms, or 50 ms across the link between regions. After this
+# time it counts as unanswered: the run is stopped and the task is placed elsewhere.
 _ORDER_SECONDS = 0.35
-_LOOK_SLACK_SECONDS = 0.8
-# A call that waits for an end holds up all that its worker has to tell. One that gets
-# no answer is given up this long after its wait: while one renewal in thirty had none,
-# the ends of steps were seen up to 1.6 s late with the time above.
-_WAIT_SLACK_SECONDS = 0.35
-# A worker lists at most so many ends at a time.
+_POLL_SLACK_SECONDS = 0.8
+# No other report of the worker arrives during a call that waits for the end of a run,
+# so a lost one is given up soon after its wait. With one lost renewal in thirty, the
+# longer slack above delayed the detection of ended steps by up to 1.6 s.
+_LONG_POLL_SLACK_SECONDS = 0.35
+# Maximum number of ended runs that a worker lists in one answer.
 _ENDS_PER_ANSWER = 500
 _REASONS = {
     "fence": StartOutcome.FENCED,
@@ -39,38 +39,42 @@
 }
 
 
-def decode_registration(key, found):
-    """Return what a worker has registered of itself, or None where unusable.
+def decode_registration(key, value):
+    """Return the registration of a worker, or None if it is invalid.
 
     Parameters
     ----------
     key : str
         Id of the worker.
-    found : dict or None
+    value : dict or None
+        Value of the worker's row.
 
     Returns
     -------
     Registration or None
-        None for an entry of another writer: fields missing or of another type.
+        None if fields are missing or have a wrong type, since other programs also write
+        to the table.
     """
     try:
-        room = found["capacity"]
-        state = found["state"]
+        capacity = value["capacity"]
+        state = value["state"]
         if state not in ("ready", "draining"):
             return None
-        labels = found.get("labels", [])
+        labels = value.get("labels", [])
         return Registration(
             worker=key,
-            pool=_text(found["service"]),
-            address=_address(found["address"]),
-            zone=_text(found["zone"]),
+            pool=_text(value["service"]),
+            address=_address(value["address"]),
+            zone=_text(value["zone"]),
             capacity=Amounts(
-                int(room["cpu"]), int(room["mem_mb"]), int(room.get("gpu", 0))
+                int(capacity["cpu"]),
+                int(capacity["mem_mb"]),
+                int(capacity.get("gpu", 0)),
             ),
             labels=tuple(_text(label) for label in labels),
             is_leaving=state == "draining",
-            leaves_in=found.get("remaining_ms", 0) / 1000,
-            born=found.get("born"),
+            leaves_in=value.get("remaining_ms", 0) / 1000,
+            born=value.get("born"),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
         return None
@@ -91,7 +95,7 @@
         self._worker = worker
         self._base = "http://" + address
         self._pool = pool
-        # A worker of another life at the same address refuses the call.
+        # Another incarnation of the worker at the same address refuses the call.
         self._headers = {
             "Content-Type": "application/json",
             "X-Expect-Instance": worker,
@@ -105,9 +109,11 @@
         run : Run
         payload : str
         lease_end : float
-            Seconds on the worker's clock.
+            Time on the worker's clock, in seconds.
         epoch : int
+            Fencing token of the pool's owner.
         checkpoint, ticket : str
+            Empty for none.
 
         Returns
         -------
@@ -137,7 +143,7 @@
         return StartOutcome.REFUSED
 
     def stop(self, key, attempt, epoch):
-        """Order a run to stop; it can't start any more either.
+        """Stop a run; a start order for it that arrives later is refused.
 
         Raises
         ------
@@ -147,7 +153,7 @@
         self._checked("/run-stop", body)
 
     def pace(self, key, attempt, percent, epoch):
-        """Let a run work at a share of its processors.
+        """Limit a run to a percentage of its processors.
 
         Raises
         ------
@@ -162,17 +168,18 @@
         self._checked("/pace", body)
 
     def renew(self, epoch, acknowledged, lease_end=None, wait_seconds=0.0):
-        """Renew the lease of all that runs, forget ends, and read both lists.
+        """Renew the leases of the worker's runs and return its report.
 
         Parameters
         ----------
         epoch : int
         acknowledged : int
-            Number of the last end whose record is durable.
+            Number of the last ended run that has been recorded durably; the worker then
+            removes the runs up to it from its list.
         lease_end : float, optional
-            Seconds on the worker's clock.
+            Time on the worker's clock, in seconds.
         wait_seconds : float
-            The answer waits so long for an end.
+            How long the worker may delay its answer until a run ends.
 
         Returns
         -------
@@ -187,13 +194,13 @@
             body["expires_ms"] = int(lease_end * 1000)
         if wait_seconds:
             body["wait_ms"] = int(wait_seconds * 1000)
-        slack = _WAIT_SLACK_SECONDS if wait_seconds else _LOOK_SLACK_SECONDS
+        slack = _LONG_POLL_SLACK_SECONDS if wait_seconds else _POLL_SLACK_SECONDS
         answer = self._checked("/hold", body, wait_seconds + slack)
         try:
             return _report(_json(answer))
         except (KeyError, TypeError, ValueError, IndexError) as error:
-            # A worker that answers nonsense is as good as silent; it must not end
-            # the task that keeps in touch with it.
+            # An invalid answer is handled like a missing one: any other error would end
+            # the loop that polls this worker.
             raise WorkerSilent(worker=self._worker) from error
 
     def _checked(self, path, body, seconds=_ORDER_SECONDS):
@@ -214,12 +221,12 @@
         )
 
 
-def _report(found):
-    ends = [_end(row) for row in found.get("finished", ())]
+def _report(body):
+    ends = [_end(row) for row in body.get("finished", ())]
     return WorkerReport(
-        clock=found["clock_ms"] / 1000,
-        born=found.get("born"),
-        runs=[_run(row) for row in found.get("running", ())],
+        clock=body["clock_ms"] / 1000,
+        born=body.get("born"),
+        runs=[_run(row) for row in body.get("running", ())],
         ends=ends,
         has_more_ends=len(ends) >= _ENDS_PER_ANSWER,
     )
@@ -227,10 +234,10 @@
 
 def _run(row):
     key = _task_key(row[0])
-    # The fifth entry is the tail in milliseconds for a task that serves, and
-    # the processors in use, in thousandths, for any other. A worker may have none yet.
-    figure = row[4] if len(row) > 4 else None
-    return RunReport(key, row[1], row[2], row[3], figure)
+    # The fifth entry is the tail latency in milliseconds for a task that serves, and
+    # the processors in use, in thousandths, for any other. It may still be missing.
+    measurement = row[4] if len(row) > 4 else None
+    return RunReport(key, row[1], row[2], row[3], measurement)
 
 
 def _end(row):
@@ -247,9 +254,9 @@
 
 
 def _reason(answer):
-    """Return the reason of a refusal; empty where there is none that can be read."""
-    found = _json(answer)
-    reason = found.get("reason") if isinstance(found, dict) else None
+    """Return the reason of a refusal, or an empty string if there is no valid one."""
+    body = _json(answer)
+    reason = body.get("reason") if isinstance(body, dict) else None
     return reason if isinstance(reason, str) else ""
 
 
@@ -260,13 +267,13 @@
         return {}
 
 
-def _address(found):
-    if not _ADDRESS.fullmatch(_text(found)):
+def _address(value):
+    if not _ADDRESS.fullmatch(_text(value)):
         raise ValueError("not an address")
-    return found
+    return value
 
 
-def _text(found):
-    if not isinstance(found, str):
-        raise TypeError("not a text")
-    return found
+def _text(value):
+    if not isinstance(value, str):
+        raise TypeError("not a string")
+    return value
