--- a/papayapick/clients/__init__.py
+++ b/papayapick/clients/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's services, by their published protocols."""
+"""Clients of the platform's services: table, object store, workers, instances."""
 
 from papayapick.clients.exceptions import (
     AnswerInvalid,
--- a/papayapick/clients/exceptions.py
+++ b/papayapick/clients/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the platform's services."""
+"""Errors of calls to the platform's services."""
 
 from papayapick.exceptions import PapayapickError
 
@@ -29,28 +29,28 @@
 
 
 class NotSent(PlatformError):
-    """Report an HTTP request of which no byte left, so it took no effect."""
+    """Report an HTTP request that was not sent, so it had no effect."""
 
     code = "platform.not-sent"
-    template = "nothing was sent to {url}"
+    template = "could not connect to {url}; nothing was sent"
 
 
 class AnswerMissing(PlatformError):
-    """Report an HTTP request that was sent and may have taken effect."""
+    """Report an HTTP request without a complete answer; it may have had an effect."""
 
     code = "platform.answer-missing"
-    template = "no whole answer from {url}"
+    template = "no complete answer from {url}"
 
 
 class AnswerInvalid(PlatformError):
-    """Report an answer that is not the one to the request that was sent."""
+    """Report an answer that is malformed or belongs to another request."""
 
     code = "platform.answer-invalid"
     template = "answer from {url} refused: {reason}"
 
 
 class TableUnavailable(PlatformError):
-    """Report a table that gave no answer; a write may have taken effect."""
+    """Report a table that did not answer; a write may have been applied."""
 
     code = "table.unavailable"
     template = "the table did not answer"
@@ -64,68 +64,68 @@
 
 
 class ObjectsUnavailable(PlatformError):
-    """Report an object store that gave no answer."""
+    """Report an object store that did not answer or refused a call."""
 
     code = "objects.unavailable"
     template = "the object store did not answer"
 
 
 class ObjectMissing(PlatformError):
-    """Report an object that is not there."""
+    """Report an object that does not exist."""
 
     code = "objects.missing"
     template = "object {name} is missing"
 
 
 class HostListUnavailable(PlatformError):
-    """Report a live list that gave no answer."""
+    """Report a live list that could not be fetched or decoded."""
 
     code = "hosts.unavailable"
-    template = "the live list did not answer"
+    template = "the live list could not be read"
 
 
 class HostLeaving(PlatformError):
-    """Report a backend server that says itself that it takes no new work."""
+    """Report a backend server whose answer says that it accepts no new work."""
 
     code = "platform.host-leaving"
-    template = "{url} is leaving"
+    template = "backend server {url} is leaving"
 
 
 class WorkerUnreachable(PlatformError):
-    """Report a worker that gave no answer; the call may have taken effect."""
+    """Report a worker without a valid answer; the call may have taken effect."""
 
     code = "worker.unreachable"
     template = "worker {worker} did not answer"
 
 
 class StaleEpoch(PlatformError):
-    """Report a call under an epoch that a newer owner has fenced off."""
+    """Report a call that was refused because a newer owner has fenced its epoch."""
 
     code = "worker.stale-epoch"
-    template = "{target} has seen an epoch later than {epoch}"
+    template = "{target} has seen an epoch newer than {epoch}"
 
 
 class TaskRefused(PlatformError):
-    """Report a task that a worker would not start; it did not run."""
+    """Report a task that a worker refused to start; it did not run."""
 
     code = "worker.task-refused"
     template = "worker {worker} refused the task: {reason}"
 
 
 class StoreRefused(TableUnavailable):
-    """Report a call of the store that took no effect."""
+    """Report a call that the store refused or did not receive; it had no effect."""
 
     code = "store.refused"
-    template = "the store refused a call"
+    template = "the store refused a call or could not be reached"
 
 
 class ConditionFailed(PlatformError):
-    """Report a transaction of which a condition did not hold; nothing was written.
+    """Report a transaction with a condition that did not hold; nothing was written.
 
     Parameters
     ----------
     rows : list of StoredRow
-        The rows of the conditions as they are now, those that exist.
+        The current rows of the conditions, as far as they exist.
     """
 
     code = "store.condition-failed"
@@ -137,7 +137,7 @@
 
 
 class HistoryLost(PlatformError):
-    """Report that changes since a version can't be told any more."""
+    """Report that the store no longer has all changes since a version."""
 
     code = "store.history-lost"
-    template = "the history of table {table} is gone; read it again"
+    template = "the change history of table {table} is incomplete; read the table again"
--- a/papayapick/clients/hosts.py
+++ b/papayapick/clients/hosts.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of live and leaving hosts, which lags."""
+"""Read the platform's list of live and leaving hosts, which lags behind."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 class HostEntry:
-    """Hold one line of the live list.
+    """Hold one entry of the live list.
 
     Parameters
     ----------
@@ -31,11 +31,11 @@
     region, zone, rack : str
     capacity : dict of str to int
         ``processors`` (millicores), ``memory`` (MiB), ``accelerators``,
-        ``slots`` and ``connections``; what is missing is 0.
+        ``slots`` and ``connections``; a missing key means 0.
     service : str
-        Service of an instance, else empty.
+        Service of an instance; empty for other kinds.
     worker : str
-        Worker that an instance stands on, else empty.
+        Worker on which an instance runs; empty for other kinds.
     """
 
     __slots__ = (
@@ -77,12 +77,17 @@
 
     @property
     def is_live(self):
-        """Return whether new work may go there."""
+        """Return whether the host accepts new work."""
         return self.state == LIVE
 
     @property
     def address(self):
-        """Return the IP number and port of a process of the cell."""
+        """Return the IP address and port of a process of the cell.
+
+        Returns
+        -------
+        tuple of (str, int)
+        """
         host, _, port = self.url.rpartition(":")
         return host, int(port)
 
@@ -106,19 +111,20 @@
 
     @property
     def tag(self):
-        """Return the tag of the list as last fetched, empty before."""
+        """Return the entity tag of the last fetched list, or an empty string."""
         return self._tag or ""
 
     def fetch(self):
         """Return the entries of the list.
 
-        An unchanged list costs an answer without a body: the list of a cell
-        is some ten kilobytes and every process looks once a second.
+        The request is conditional, so an unchanged list is answered without a body:
+        the list of a cell takes about ten kilobytes, and each process polls it once a
+        second.
 
         Returns
         -------
         tuple of HostEntry
-            The same object for as long as the list has not changed.
+            The same object as before if the list has not changed.
 
         Raises
         ------
@@ -131,8 +137,8 @@
                 return self._entries
             if answer.status != 200:
                 raise HostListUnavailable()
-            lines = json.loads(answer.body)["hosts"]
-            self._entries = tuple(HostEntry(**line) for line in lines)
+            entries = json.loads(answer.body)["hosts"]
+            self._entries = tuple(HostEntry(**entry) for entry in entries)
             self._tag = answer.headers.get("ETag")
             return self._entries
         except (NotSent, AnswerMissing, ValueError, KeyError, TypeError) as error:
--- a/papayapick/clients/http.py
+++ b/papayapick/clients/http.py
@@ -1,4 +1,4 @@
-"""Send HTTP requests over kept connections and tell truthfully what was sent."""
+"""Send HTTP requests over pooled connections; errors say whether one was sent."""
 
 import http.client
 import select
@@ -10,16 +10,16 @@
 
 __all__ = ["HttpAnswer", "HttpPool"]
 
-_KEPT_PER_ADDRESS = 32
+_MAX_IDLE_PER_ADDRESS = 32
 _PART_BYTES = 64 << 10
-# A lost opening packet is sent again by the system after a second; a new connection has
-# another chance sooner. Several times what it takes between regions; doubled each time,
-# since the way may be slow.
+# The operating system repeats a lost SYN packet only after a second; opening another
+# connection is faster. The first limit is several times the time that connecting takes
+# between regions. It is doubled for each further attempt in case the route is slow.
 _CONNECT_SECONDS = 0.25
 
 
 class HttpAnswer:
-    """Hold one whole answer."""
+    """Hold one complete answer."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -30,12 +30,12 @@
 
 
 class HttpPool:
-    """Keep idle connections by address.
+    """Send requests over idle connections that are kept per address.
 
     Parameters
     ----------
     timeout : float
-        Seconds for one request, from connecting to the last byte.
+        Time limit of a request in seconds, from connecting to the last byte.
     clock : Clock, optional
     """
 
@@ -57,7 +57,7 @@
         fresh=False,
         check=None,
     ):
-        """Send one request and read the whole answer.
+        """Send a request and read the whole answer.
 
         Parameters
         ----------
@@ -66,13 +66,13 @@
         body : bytes, optional
         headers : dict, optional
         timeout : float, optional
-            Seconds, in place of the pool's.
+            Seconds; overrides the time limit of the pool.
         fresh : bool
-            Open a new connection. A kept one may have been closed by the other
-            side unseen; a request lost on it can't be told from one that ran.
+            Open a new connection. The server may have closed an idle one unnoticed,
+            and a request lost on it can't be distinguished from one that ran.
         check : callable, optional
-            Raises for an answer that is not to this request. The connection is
-            then closed: after one answer out of step, all later ones are.
+            Raises an error for an answer to another request. The connection is then
+            closed, since later answers would be out of step as well.
 
         Returns
         -------
@@ -81,14 +81,14 @@
         Raises
         ------
         NotSent
-            No connection could be made, so the request took no effect.
+            No connection could be opened, so the request had no effect.
         AnswerMissing, AnswerInvalid
-            The request may have taken effect.
+            The request may have had an effect.
         """
         parts = urllib.parse.urlsplit(url)
         timeout = self._timeout if timeout is None else timeout
         deadline = self._clock.monotonic() + timeout
-        connection = None if fresh else self._take(parts.netloc)
+        connection = None if fresh else self._take_idle(parts.netloc)
         try:
             if connection is None:
                 connection = self._connect(parts.netloc, deadline)
@@ -98,7 +98,7 @@
         if parts.query:
             path += "?" + parts.query
         try:
-            answer, is_kept = self._exchange(
+            answer, is_reusable = self._exchange(
                 connection, method, path, body, headers or {}, deadline
             )
             if check is not None:
@@ -109,7 +109,7 @@
         except BaseException:
             connection.close()
             raise
-        if is_kept:
+        if is_reusable:
             self._keep(parts.netloc, connection)
         else:
             connection.close()
@@ -125,56 +125,58 @@
 
     def _exchange(self, connection, method, path, body, headers, deadline):
         sock = connection.sock
-        self._limit(sock, deadline)
+        self._apply_deadline(sock, deadline)
         connection.request(method, path, body=body, headers=headers)
-        self._limit(sock, deadline)
+        self._apply_deadline(sock, deadline)
         response = connection.getresponse()
         parts = []
         while part := self._read_part(sock, response, deadline):
             parts.append(part)
         data = b"".join(parts)
         if response.length:
-            # The connection ended in the middle of the body.
+            # The connection was closed in the middle of the body.
             raise http.client.IncompleteRead(data, response.length)
         if _has_more(sock, response):
-            # A length that is too short makes a cut answer look whole, and
-            # leaves its rest as the start of the next answer.
-            raise AnswerInvalid(url=path, reason="it is longer than its length")
-        is_kept = not response.will_close
+            # A Content-Length that is too small makes a truncated answer look complete,
+            # and the remaining bytes would be read as the next answer.
+            raise AnswerInvalid(url=path, reason="it is longer than its Content-Length")
+        is_reusable = not response.will_close
         response.close()
-        return HttpAnswer(response.status, response.headers, data), is_kept
+        return HttpAnswer(response.status, response.headers, data), is_reusable
 
     def _read_part(self, sock, response, deadline):
-        # Limited anew for each part: a server that sends a byte now and then
-        # would never meet a limit on the silence between two of them.
-        self._limit(sock, deadline)
+        # The remaining time is applied before each read: a server that sends single
+        # bytes slowly would never exceed a timeout between two reads.
+        self._apply_deadline(sock, deadline)
         return response.read1(_PART_BYTES)
 
-    def _limit(self, sock, deadline):
-        rest = deadline - self._clock.monotonic()
-        if rest <= 0:
+    def _apply_deadline(self, sock, deadline):
+        remaining = deadline - self._clock.monotonic()
+        if remaining <= 0:
             raise TimeoutError
-        sock.settimeout(rest)
+        sock.settimeout(remaining)
 
-    def _take(self, netloc):
-        """Return a kept connection, or None."""
+    def _take_idle(self, netloc):
+        """Return an idle connection that is still usable, or None."""
         while True:
             with self._lock:
                 kept = self._idle.get(netloc)
                 connection = kept.pop() if kept else None
             if connection is None or not _is_readable(connection.sock):
                 return connection
-            # Closed by the other side, or bytes that nobody asked for.
+            # Readable without a request: the server closed it or sent unexpected bytes.
             connection.close()
 
     def _connect(self, netloc, deadline):
-        """Open a connection; raise OSError where none can be opened in time."""
+        """Open a connection; raise OSError if that fails or takes too long."""
         seconds = _CONNECT_SECONDS
         while True:
-            rest = deadline - self._clock.monotonic()
-            if rest <= 0:
+            remaining = deadline - self._clock.monotonic()
+            if remaining <= 0:
                 raise TimeoutError
-            connection = http.client.HTTPConnection(netloc, timeout=min(seconds, rest))
+            connection = http.client.HTTPConnection(
+                netloc, timeout=min(seconds, remaining)
+            )
             try:
                 connection.connect()
             except TimeoutError:
@@ -189,7 +191,7 @@
     def _keep(self, netloc, connection):
         with self._lock:
             kept = self._idle.setdefault(netloc, [])
-            if len(kept) < _KEPT_PER_ADDRESS:
+            if len(kept) < _MAX_IDLE_PER_ADDRESS:
                 kept.append(connection)
                 return
         connection.close()
@@ -202,7 +204,7 @@
 
 
 def _has_more(sock, response):
-    """Return whether bytes follow the body that were received with it."""
+    """Return whether bytes were received after the end of the body."""
     if response.fp is None or response.length is None:
         return False
     sock.settimeout(0)
--- a/papayapick/clients/instances.py
+++ b/papayapick/clients/instances.py
@@ -1,4 +1,4 @@
-"""Call backend servers and check that the answer is whole and theirs."""
+"""Call backend servers; check that answers are complete and match the request."""
 
 import json
 
@@ -21,7 +21,7 @@
 
 
 def is_leaving(answer):
-    """Return whether a backend server says with its answer that it leaves."""
+    """Return whether a backend server announces in its answer that it leaves."""
     return answer.headers.get(LEAVING) is not None
 
 
@@ -41,20 +41,20 @@
     def call(
         self, url, request_id, epoch, payload, seconds, traceparent="", fresh=True
     ):
-        """Send one request and return its whole answer.
+        """Send a request and return its complete answer.
 
         Parameters
         ----------
         url : str
         request_id : str
-            Echoed by the backend server, which proves whose answer it is.
+            Echoed by the backend server, which shows to which request it answers.
         epoch : int
-            Refused by the backend server where a newer owner fenced it.
+            The backend server refuses the call if a newer owner has fenced it.
         payload : bytes
         seconds : float
         traceparent : str
         fresh : bool
-            Use a new connection, so that a refusal can be told from a run.
+            Use a new connection, so that NotSent proves that the request did not run.
 
         Returns
         -------
@@ -82,14 +82,14 @@
             headers,
             seconds,
             fresh,
-            check=lambda found: _check_whole(url, request_id, found),
+            check=lambda answer: _check_answer(url, request_id, answer),
         )
         if answer.status == _STALE_EPOCH_STATUS and answer.headers.get(EPOCH):
             raise StaleEpoch(target=url, epoch=epoch)
         return answer
 
     def state_of(self, url, request_id):
-        """Ask a backend server what became of a request.
+        """Return the state of a request at a backend server.
 
         Returns
         -------
@@ -106,15 +106,20 @@
         return self._decoded(url, answer)["state"]
 
     def fence(self, url, epoch, reject_leaving=False):
-        """Fence an instance and return the ids of the requests it runs.
+        """Make an instance refuse lower epochs and return its running requests.
 
         Parameters
         ----------
         url : str
         epoch : int
         reject_leaving : bool
-            Raise HostLeaving for an instance that says it leaves: the live
-            list lags, and would have it opened again after its own word.
+            Raise HostLeaving for an instance whose answer says that it leaves. The live
+            list lags behind, so the caller could otherwise open the instance again.
+
+        Returns
+        -------
+        list of str
+            Ids of the requests that the instance runs.
 
         Raises
         ------
@@ -136,17 +141,17 @@
             raise AnswerMissing(url=url) from error
 
 
-def _check_whole(url, request_id, answer):
-    """Raise AnswerInvalid for an answer that may be another's or cut short."""
+def _check_answer(url, request_id, answer):
+    """Raise AnswerInvalid for an answer that may be misdirected or truncated."""
     if answer.headers.get_all(REQUEST_ID) != [request_id]:
-        # A late or reordered answer on a kept connection would otherwise
-        # reach another caller.
+        # A late or reordered answer on a reused connection would otherwise
+        # reach the wrong caller.
         raise AnswerInvalid(url=url, reason="it belongs to another request")
     lengths = set(answer.headers.get_all("Content-Length") or ())
     is_chunked = answer.headers.get("Transfer-Encoding", "").lower() == _CHUNKED
     if is_chunked and not lengths:
-        # The last chunk, of no bytes, proves the end.
+        # The last chunk, which is empty, marks the end of the body.
         return
     if len(lengths) != 1 or not lengths.pop().strip().isdecimal():
-        # Without one readable length, an answer cut short looks whole.
-        raise AnswerInvalid(url=url, reason="it has no length")
+        # Without a valid length, a truncated answer looks complete.
+        raise AnswerInvalid(url=url, reason="it has no valid Content-Length")
--- a/papayapick/clients/objects.py
+++ b/papayapick/clients/objects.py
@@ -1,4 +1,4 @@
-"""Reach the platform's object store over HTTP."""
+"""Client of the platform's object store."""
 
 import hashlib
 import urllib.parse
@@ -14,12 +14,12 @@
 
 
 def digest_of(data):
-    """Return the SHA-256 of bytes in hexadecimal digits."""
+    """Return the SHA-256 digest of bytes in hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
 class ObjectStore:
-    """Keep bytes by name.
+    """Store and read objects by name.
 
     Parameters
     ----------
@@ -34,12 +34,22 @@
         self._pool = pool
 
     def put(self, name, data):
-        """Store bytes; storing the same bytes again changes nothing."""
+        """Store an object; storing the same bytes again changes nothing.
+
+        Raises
+        ------
+        ObjectsUnavailable
+        """
         if self._call("PUT", name, data).status != 200:
             raise ObjectsUnavailable()
 
     def get(self, name):
-        """Return the bytes of a name."""
+        """Return the bytes of an object.
+
+        Raises
+        ------
+        ObjectMissing, ObjectsUnavailable
+        """
         answer = self._call("GET", name)
         if answer.status == 404:
             raise ObjectMissing(name=name)
--- a/papayapick/clients/rows.py
+++ b/papayapick/clients/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a store of tables with partitions, and transactions on them."""
+"""Types of rows in partitioned tables and of transactions on them."""
 
 __all__ = ["Expectation", "Page", "RowWrite", "StoredRow"]
 
@@ -10,9 +10,9 @@
     ----------
     table, partition, key : str
     value : dict or None
-        None where the row was deleted, or where its bytes are no JSON object.
+        None if the row was deleted or its bytes are not a JSON object.
     version : int
-        Of the transaction that wrote it last.
+        Version of the transaction that last wrote the row.
     is_deleted : bool
     """
 
@@ -28,14 +28,15 @@
 
 
 class Page:
-    """Hold rows as of one moment.
+    """Hold a page of rows that were read at one version of the store.
 
     Parameters
     ----------
     rows : list of StoredRow
     version : int
-        Newest version of the store at that moment.
+        Version of the store at which the rows were read.
     has_more : bool
+        Whether further pages follow.
     """
 
     __slots__ = ("has_more", "rows", "version")
@@ -47,7 +48,7 @@
 
 
 class Expectation:
-    """Demand that a row has a version, or with 0 that it is absent."""
+    """Require that a row has a version, or with version 0 that it is absent."""
 
     __slots__ = ("key", "partition", "table", "version")
 
@@ -59,7 +60,7 @@
 
 
 class RowWrite:
-    """Set a row, or delete it where the value is None."""
+    """Set a row, or delete it if the value is None."""
 
     __slots__ = ("key", "partition", "table", "value")
 
--- a/papayapick/clients/table.py
+++ b/papayapick/clients/table.py
@@ -1,4 +1,4 @@
-"""Reach the platform's transactional table over HTTP and JSON."""
+"""Client of the platform's transactional table."""
 
 import json
 import urllib.parse
@@ -15,7 +15,7 @@
 
 
 class Table:
-    """Read and change rows.
+    """Read and change rows of the table.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
         self._count = count or (lambda operation: None)
 
     def read(self, key):
-        """Return a row, or None where there is none."""
+        """Return a row, or None if there is none."""
         self._count("read")
         quoted = urllib.parse.quote(key, safe="")
         answer = self._call("GET", f"{self._url}/rows/{quoted}")
@@ -44,14 +44,22 @@
         return Row(key, found["value"], found["version"])
 
     def scan(self, prefix):
-        """Return the rows whose keys begin with a prefix, in order."""
+        """Return the rows whose keys begin with a prefix, ordered by key."""
         self._count("scan")
         quoted = urllib.parse.quote(prefix, safe="")
         found = self._decoded(self._call("GET", f"{self._url}/rows?prefix={quoted}"))
         return [Row(row["key"], row["value"], row["version"]) for row in found["rows"]]
 
     def transact(self, conditions, writes):
-        """Apply all writes if all conditions hold."""
+        """Apply all writes if all conditions hold.
+
+        Raises
+        ------
+        TransactionConflict
+            A condition did not hold; nothing was written.
+        TableUnavailable
+            The writes may have been applied.
+        """
         self._count("transact")
         body = {
             "conditions": [{"key": c.key, "version": c.version} for c in conditions],
--- a/papayapick/clients/types.py
+++ b/papayapick/clients/types.py
@@ -16,7 +16,7 @@
     value : dict
         JSON values.
     version : int
-        Grows with each write of the row; 0 means that there is no row.
+        Increases with each write of the row; 0 means that the row is absent.
     """
 
     __slots__ = ("key", "value", "version")
@@ -28,7 +28,7 @@
 
 
 class Condition:
-    """Demand that a row has a version, or with version 0 that it is absent."""
+    """Require that a row has a version, or with version 0 that it is absent."""
 
     __slots__ = ("key", "version")
 
@@ -38,7 +38,7 @@
 
 
 class Write:
-    """Set a row, or delete it where the value is None."""
+    """Set a row, or delete it if the value is None."""
 
     __slots__ = ("key", "value")
 
@@ -54,7 +54,7 @@
         """Return a row, or None; raise TableUnavailable."""
 
     def scan(self, prefix: str) -> list[Row]:
-        """Return the rows whose keys begin so, in order of keys."""
+        """Return the rows whose keys begin with the prefix, ordered by key."""
 
     def transact(self, conditions: list[Condition], writes: list[Write]) -> None:
         """Apply all writes if all conditions hold.
@@ -64,10 +64,10 @@
 
 
 class ObjectsProtocol(Protocol):
-    """Keep bytes by name."""
+    """Store and read objects by name."""
 
     def put(self, name: str, data: bytes) -> None:
-        """Store bytes; the same name always holds the same bytes."""
+        """Store an object; a name always stands for the same bytes."""
 
     def get(self, name: str) -> bytes:
-        """Return the bytes; raise ObjectMissing or ObjectsUnavailable."""
+        """Return an object's bytes; raise ObjectMissing or ObjectsUnavailable."""
--- a/papayapick/clients/workers.py
+++ b/papayapick/clients/workers.py
@@ -1,4 +1,4 @@
-"""Start, stop and count tasks on workers, under leases that carry an epoch."""
+"""Client of workers: start, stop, renew and list tasks under an owner's epoch."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 
 class TaskReport:
-    """Hold what a worker says of one task.
+    """Hold a worker's report on one task.
 
     Parameters
     ----------
@@ -22,7 +22,7 @@
     state : {"running", "done", "failed", "stopped", "lapsed", "checkpointed"}
     demand : dict of str to int
     usage : dict of str to int
-        Observed use, which lags.
+        Observed usage, which lags behind.
     result : str
     """
 
@@ -37,7 +37,7 @@
 
     @property
     def is_running(self):
-        """Return whether the task still uses its host."""
+        """Return whether the task still occupies its host."""
         return self.state == "running"
 
 
@@ -55,7 +55,7 @@
         self._pool = pool
 
     def fence(self, worker, epoch):
-        """Make a worker refuse lower epochs, and return its tasks.
+        """Make a worker refuse lower epochs and return its tasks.
 
         Parameters
         ----------
@@ -73,7 +73,7 @@
         return self._reports(self._call(worker, "/fence", epoch, {}))
 
     def start(self, worker, epoch, task, demand, lease_seconds, work):
-        """Start a task; a repeated start of the same task changes nothing.
+        """Start a task; repeating the start of a task has no effect.
 
         Raises
         ------
@@ -91,14 +91,22 @@
         self._call(worker, "/tasks", epoch, body)
 
     def stop(self, worker, epoch, tasks):
-        """Stop tasks; once this returns they do not run."""
+        """Stop tasks; they no longer run when this returns.
+
+        Raises
+        ------
+        StaleEpoch, WorkerUnreachable
+        """
         self._call(worker, "/stop", epoch, {"tasks": tasks})
 
     def checkpoint(self, worker, epoch, tasks):
-        """Save and stop tasks; once this returns they do not run.
+        """Save the state of tasks and stop them; they no longer run when this returns.
+
+        A later start whose work names a saved task as ``checkpoint`` resumes from it.
 
-        A later start names a saved task as ``checkpoint`` in its work to go on
-        from there.
+        Raises
+        ------
+        StaleEpoch, WorkerUnreachable
         """
         self._call(worker, "/checkpoint", epoch, {"tasks": tasks})
 
@@ -108,6 +116,10 @@
         Returns
         -------
         list of TaskReport
+
+        Raises
+        ------
+        StaleEpoch, WorkerUnreachable
         """
         body = {"tasks": tasks, "lease_seconds": lease_seconds}
         return self._reports(self._call(worker, "/leases", epoch, body))
