--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform, decoded once into types of the product."""
+"""Decoding of the platform's bodies and settings into types of papayapick."""
 
 import json
 
@@ -24,7 +24,7 @@
     }
 
 
-def test_queue_is_found_by_host_and_longest_prefix():
+def test_queue_is_found_by_host_and_longest_path_prefix():
     found = _configuration()
     found["routes"].append({**found["routes"][0], "name": "r", "path_prefix": "/q/r/"})
     configuration = decode_configuration(found)
@@ -34,7 +34,7 @@
     assert configuration.pools == {"p"}
 
 
-def test_policies_of_a_queue():
+def test_policies_of_a_queue_are_decoded():
     advice = {"decide_ms": 500, "each_ms": 10, "valid_ms": 2500}
     found = _configuration(advice=advice, slo_ms=500, attempts=4, stretch=1.5)
     queue = decode_configuration(found).queues["q"]
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("missing", ["version", "routes", "services", "limits"])
-def test_configuration_that_lacks_a_part(missing):
+def test_configuration_without_a_required_section_is_refused(missing):
     found = _configuration()
     del found[missing]
     with pytest.raises(BodyInvalid):
@@ -59,7 +59,7 @@
     return json.dumps({"spec": "x", "phases": [{"task_count": 2, "cpu": 500, **phase}]})
 
 
-def test_job_with_all_fields():
+def test_all_fields_of_a_job_are_decoded():
     body = _body(
         mem_mb=64,
         gpu=1,
@@ -87,10 +87,10 @@
     assert (step.tasks_per_worker, step.unavailable_limit) == (2, 1)
 
 
-def test_job_survives_its_record():
+def test_job_is_restored_from_its_record():
     job = decode_job(ID, _queue(), _body(gang=True), 5.0)
-    again = type(job).from_record(json.loads(json.dumps(job.as_record())))
-    assert again.as_record() == job.as_record()
+    restored = type(job).from_record(json.loads(json.dumps(job.as_record())))
+    assert restored.as_record() == job.as_record()
 
 
 @pytest.mark.parametrize(
@@ -108,12 +108,12 @@
         json.dumps({"spec": "x" * 4001, "phases": [{"task_count": 1}]}),
     ],
 )
-def test_wrong_body_is_refused(body):
+def test_invalid_body_is_refused(body):
     with pytest.raises(BodyInvalid):
         decode_job(ID, _queue(), body, 5.0)
 
 
-def test_answers():
+def test_answers_are_encoded():
     assert json.loads(encode_state("waiting")) == {"state": "pending"}
     assert json.loads(encode_waiting(3)) == {"queued_jobs": 3}
 
@@ -145,12 +145,12 @@
         lambda text: "= =",
     ],
 )
-def test_bad_settings_are_told_by_type(tmp_path, change):
+def test_invalid_settings_are_refused(tmp_path, change):
     with pytest.raises(PlatformSettingsInvalid):
         _settings(tmp_path, change)
 
 
-def test_settings_that_are_not_there(tmp_path):
+def test_missing_settings_file_is_refused(tmp_path):
     missing = {"PAPAYAPICK_CONFIG": str(tmp_path / "none")}
     with pytest.raises(PlatformSettingsInvalid):
         PlatformSettings.from_config(missing)
@@ -159,13 +159,13 @@
 @pytest.mark.parametrize(
     ("asked", "served"), [(9464, 9464), (0, 0), (8161, 0), (8167, 0), (7720, 0)]
 )
-def test_metrics_give_way_to_the_ports_that_the_platform_has_drawn(
+def test_metrics_are_not_served_on_a_port_assigned_by_the_platform(
     tmp_path, asked, served
 ):
-    """All callers of a deployment are answered with metrics, or no host starts.
+    """Guards against callers that get metrics, and against hosts that can't start.
 
-    The ports of callers and health checks are drawn for each deployment, and the port
-    for metrics is the same on all: one day they meet.
+    The ports for callers and health checks are assigned anew for each deployment, while
+    the port for metrics is always the same, so the two can coincide.
     """
     path = tmp_path / "settings.toml"
     path.write_text(
@@ -177,15 +177,15 @@
 
 
 def test_wave_is_decoded():
-    found = decode_wave(
+    wave = decode_wave(
         {"wave": 7, "machines": ["m1", "m2"], "duration_s": 30, "maximum": 2}
     )
-    assert (found.number, found.machines) == (7, ["m1", "m2"])
-    assert (found.seconds, found.at_once) == (30.0, 2)
+    assert (wave.number, wave.machines) == (7, ["m1", "m2"])
+    assert (wave.seconds, wave.at_once) == (30.0, 2)
 
 
 @pytest.mark.parametrize("missing", ["wave", "machines", "duration_s", "maximum"])
-def test_wave_that_lacks_a_field_is_refused(missing):
+def test_wave_without_a_required_field_is_refused(missing):
     value = {"wave": 7, "machines": [], "duration_s": 30, "maximum": 2}
     del value[missing]
     with pytest.raises(BodyInvalid):
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its own folder only."""
+"""Names of the platform's formats are used in papayapick/platform only."""
 
 import re
 
@@ -6,7 +6,7 @@
 
 from demo.cells import ROOT
 
-# Names of the wire that mean nothing else in this project.
+# Names of the platform's formats that have no other meaning in this project.
 NAMES = [
     "ack_cursor",
     "anti_affinity",
@@ -74,11 +74,11 @@
 @pytest.mark.parametrize(
     "path", SOURCES, ids=lambda path: str(path.relative_to(PACKAGE))
 )
-def test_no_name_of_the_wire_stands_outside_the_folder(path):
+def test_names_of_the_formats_are_not_used_in_other_folders(path):
     assert PATTERN.findall(path.read_text()) == []
 
 
-def test_the_pattern_finds_them_where_they_belong():
+def test_pattern_matches_the_names_in_their_folder():
     texts = [path.read_text() for path in (PACKAGE / "platform").glob("*.py")]
     found = {name for text in texts for name in PATTERN.findall(text)}
     assert len(found) > 15
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -1,4 +1,4 @@
-"""Lists of workers, decoded once into types of the product."""
+"""Decoding of the runs that a worker reports."""
 
 import json
 from types import SimpleNamespace
@@ -10,8 +10,8 @@
 TASK = "5c0e7a21d94b36f8.0.0.0"
 
 
-class Pool:
-    """Answer each call with one list of what runs."""
+class StubPool:
+    """Answer each call with a report of one run."""
 
     def __init__(self, row):
         body = {"clock_ms": 5_000, "born": 1, "running": [row], "finished": []}
@@ -21,17 +21,17 @@
         return SimpleNamespace(status=200, body=self._body)
 
 
-def listed(row):
-    (run,) = WorkerClient("w1", "a:1", Pool(row)).renew(1, 0).runs
+def reported_run(row):
+    (run,) = WorkerClient("w1", "a:1", StubPool(row)).renew(1, 0).runs
     return run
 
 
 @pytest.mark.parametrize("rest", [[], [None]])
-def test_figure_that_is_missing_is_not_zero(rest):
-    """A tail that nobody has measured was taken for one of nothing."""
-    assert listed([TASK, 1, "", 100, *rest]).figure is None
+def test_missing_measurement_is_not_decoded_as_zero(rest):
+    """Guards against taking an unmeasured tail latency for one of zero."""
+    assert reported_run([TASK, 1, "", 100, *rest]).figure is None
 
 
 @pytest.mark.parametrize("figure", [0, 85])
-def test_figure_that_is_told_stays_as_it_is(figure):
-    assert listed([TASK, 1, "", 100, figure]).figure == figure
+def test_reported_measurement_is_unchanged(figure):
+    assert reported_run([TASK, 1, "", 100, figure]).figure == figure
--- a/tests/platform/test_workers.py
+++ b/tests/platform/test_workers.py
@@ -1,4 +1,4 @@
-"""What workers answer to orders, whoever speaks for them."""
+"""Decoding of workers' answers to orders and renewals."""
 
 import json
 
@@ -13,8 +13,8 @@
 RUN = Run(TaskKey("f" * 16, 0, 0, 0), 1, "w1", Amounts(10, 1), RunPhase.ORDERED, 0.0)
 
 
-class Answering:
-    """Give one answer to every call."""
+class StubPool:
+    """Give the same answer to every call."""
 
     def __init__(self, status, body):
         self._answer = HttpAnswer(status, {}, body)
@@ -24,15 +24,15 @@
 
 
 def _start(status, body):
-    client = WorkerClient("w1", "a:1", Answering(status, body))
+    client = WorkerClient("w1", "a:1", StubPool(status, body))
     return client.start(RUN, "text", 50.0, 3)
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"busy", b"[]", b"null", b"7", b'{"reason":[]}', b'{"reason":{}}']
 )
-def test_refusal_without_a_reason_that_can_be_read(body):
-    """Guards against a task that waits for ever: reading the refusal failed."""
+def test_refusal_without_a_valid_reason(body):
+    """Guards against a task that waits for ever after a decoding error."""
     assert _start(409, body) == StartOutcome.REFUSED
 
 
@@ -41,9 +41,13 @@
 
 
 @pytest.mark.parametrize(("count", "has_more"), [(0, False), (499, False), (500, True)])
-def test_list_of_as_many_ends_as_there_may_be_is_taken_for_cut(count, has_more):
-    """Guards against a run that seems to be over without an end."""
+def test_list_of_maximum_length_may_be_incomplete(count, has_more):
+    """Guards against a run that seems to have ended without an outcome.
+
+    A worker lists at most 500 ended runs. A list of that length may lack others, and
+    these are not among the running ones either.
+    """
     ends = [[number, f"{'f' * 16}.0.0.0", 1, "done", ""] for number in range(count)]
     body = json.dumps({"clock_ms": 5, "running": [], "finished": ends}).encode()
-    report = WorkerClient("w1", "a:1", Answering(200, body)).renew(3, 0)
+    report = WorkerClient("w1", "a:1", StubPool(200, body)).renew(3, 0)
     assert (len(report.ends), report.has_more_ends) == (count, has_more)
