--- a/papayapick/entry/program.py
+++ b/papayapick/entry/program.py
@@ -68,7 +68,7 @@
     clock = BootClock()
     static = {"host": settings.host_name, "zone": settings.zone}
     level = options["--log-level"]
-    log = EventLog(clock, level, static, on_left_out=LINES_LEFT_OUT.inc)
+    log = EventLog(clock, level, static, on_dropped_lines=LINES_LEFT_OUT.inc)
     log.start()
     wakeup = threading.Event()
     stop_signals = []
@@ -99,7 +99,7 @@
     )
     while not stop_signals:
         wakeup.wait(_LEFT_OUT_INTERVAL_SECONDS)
-        log.tell_left_out()
+        log.report_dropped_lines()
         if wakeup.is_set() and not stop_signals:
             wakeup.clear()
             _reread_settings()
--- a/papayapick/observability/events.py
+++ b/papayapick/observability/events.py
@@ -234,14 +234,14 @@
         On each line.
     stream : file, optional
         Standard output where none is given.
-    on_left_out : callable, optional
+    on_dropped_lines : callable, optional
         Called with the number of lines that were left out, when they are told.
     """
 
     __slots__ = ("_handler", "_left_out", "_on_left_out", "_task", "_writer")
 
-    def __init__(self, clock, level, static_fields, stream=None, on_left_out=None):
-        self._on_left_out = on_left_out or (lambda count: None)
+    def __init__(self, clock, level, static_fields, stream=None, on_dropped_lines=None):
+        self._on_left_out = on_dropped_lines or (lambda count: None)
         self._left_out = _LeftOut()
         waiting = queue.Queue(_WAITING_LINES)
         self._handler = _Handler(waiting, self._left_out)
@@ -265,7 +265,7 @@
         """Begin to write, as a task of its own."""
         self._task.start()
 
-    def tell_left_out(self):
+    def report_dropped_lines(self):
         """Write how many lines were left out since the last call."""
         if self._handler.queue.full():
             # Nobody reads: the counts are kept until somebody does.
@@ -276,6 +276,6 @@
 
     def close(self):
         """Write what waits; give up where nobody reads."""
-        self.tell_left_out()
+        self.report_dropped_lines()
         self._writer.stop()
         self._task.join(_CLOSE_SECONDS)
--- a/tests/observability/test_events.py
+++ b/tests/observability/test_events.py
@@ -88,7 +88,7 @@
     log = open_log(clock, stream)
     for number in range(10):
         SEEN.write(number=number)
-    log.tell_left_out()
+    log.report_dropped_lines()
     clock.advance(1.0)
     SEEN.write(number=10)
     log.close()
