--- a/papayapick/entry/metrics.py
+++ b/papayapick/entry/metrics.py
@@ -1,6 +1,6 @@
 """Metrics of an entry host about its callers and its platform."""
 
-from papayapick.observability.registry import Place, counter, gauge, histogram
+from papayapick.observability.registry import PageSection, counter, gauge, histogram
 
 __all__ = [
     "ACCEPTANCE_SECONDS",
@@ -15,13 +15,13 @@
 ]
 
 REQUESTS = counter(
-    Place.ANSWERS,
+    PageSection.RESPONSES,
     "papayapick_entry_requests",
     "Requests answered",
     ("method", "status"),
 )
 REFUSALS = counter(
-    Place.LOSSES,
+    PageSection.REFUSALS_AND_DROPS,
     "papayapick_entry_refusals",
     "Requests not answered with success",
     ("code",),
@@ -35,7 +35,7 @@
     ("operation", "outcome"),
 )
 STORE_AGE_SECONDS = gauge(
-    Place.STANDING,
+    PageSection.HOST_STATE,
     "papayapick_entry_store_age_seconds",
     "Since the store last answered this host",
 )
@@ -45,15 +45,15 @@
     ("outcome",),
 )
 CONFIGURATION_VERSION = gauge(
-    Place.STANDING, "papayapick_entry_configuration_version", "Version in force"
+    PageSection.HOST_STATE, "papayapick_entry_configuration_version", "Version in force"
 )
 CONFIGURATION_AGE_SECONDS = gauge(
-    Place.STANDING,
+    PageSection.HOST_STATE,
     "papayapick_entry_configuration_age_seconds",
     "Since that version came in force",
 )
 LINES_LEFT_OUT = counter(
-    Place.LOSSES,
+    PageSection.REFUSALS_AND_DROPS,
     "papayapick_entry_lines_left_out",
     "Lines of the log that were not written",
 )
--- a/papayapick/observability/registry.py
+++ b/papayapick/observability/registry.py
@@ -12,13 +12,13 @@
     generate_latest,
 )
 
-__all__ = ["Place", "counter", "described", "gauge", "histogram", "metrics_text"]
+__all__ = ["PageSection", "counter", "described", "gauge", "histogram", "metrics_text"]
 
 # The moment at which a series began takes a line for each, and nobody asks for it.
 disable_created_metrics()
 
 
-class Place(enum.IntEnum):
+class PageSection(enum.IntEnum):
     """Tell where on the page a metric stands; within a place they go by name.
 
     Collectors may cut a page off after some 4,000 bytes. So what bounded sets of
@@ -27,17 +27,17 @@
     """
 
     # Whether the host decides, and by what.
-    STANDING = 1
+    HOST_STATE = 1
     # What became of an owner's orders and claims.
     OWNER = 2
     # What callers were refused, and lines that are missing.
-    LOSSES = 3
+    REFUSALS_AND_DROPS = 3
     # A series for each queue.
     BACKLOGS = 4
     # A series for each kind of answer.
-    ANSWERS = 5
+    RESPONSES = 5
     PROCESS = 6
-    TIMES = 7
+    HISTOGRAMS = 7
 
 
 class _Page:
@@ -63,10 +63,10 @@
 
     def collect(self):
         """Yield what the library writes, without metrics that have no series yet."""
-        places = [*self._metrics, (Place.PROCESS, "", self._process)]
+        places = [*self._metrics, (PageSection.PROCESS, "", self._process)]
         for place, _, metric in sorted(places, key=_place_and_name):
             for family in metric.collect():
-                if place == Place.BACKLOGS:
+                if place == PageSection.BACKLOGS:
                     family.samples.sort(key=_value, reverse=True)
                 if family.samples:
                     yield family
@@ -100,7 +100,9 @@
 def histogram(name, text, labels=(), of_jobs=False):
     """Return a new histogram of seconds, of calls or of whole jobs."""
     buckets = _JOB_BUCKETS if of_jobs else _CALL_BUCKETS
-    return _PAGE.add(Histogram, Place.TIMES, name, text, labels, buckets=buckets)
+    return _PAGE.add(
+        Histogram, PageSection.HISTOGRAMS, name, text, labels, buckets=buckets
+    )
 
 
 def metrics_text():
--- a/papayapick/pool/metrics.py
+++ b/papayapick/pool/metrics.py
@@ -1,6 +1,6 @@
 """Metrics of the owner of a pool."""
 
-from papayapick.observability.registry import Place, counter, gauge, histogram
+from papayapick.observability.registry import PageSection, counter, gauge, histogram
 
 __all__ = [
     "COMPLETION_SECONDS",
@@ -17,7 +17,7 @@
 # All label values come from fixed sets, except the names of queues, which operators
 # choose. Only queues with waiting jobs are exported.
 WAITING_JOBS = gauge(
-    Place.BACKLOGS,
+    PageSection.BACKLOGS,
     "papayapick_pool_waiting_jobs",
     "Accepted jobs that have not begun, as the owner told in the last 2 s",
     ("queue",),
@@ -34,27 +34,27 @@
     of_jobs=True,
 )
 STARTS = counter(
-    Place.OWNER,
+    PageSection.OWNER,
     "papayapick_pool_starts",
     "Orders to start a task, by what became",
     ("outcome",),
 )
 ENDS = counter(
-    Place.OWNER, "papayapick_pool_ends", "Ends that workers listed", ("outcome",)
+    PageSection.OWNER, "papayapick_pool_ends", "Ends that workers listed", ("outcome",)
 )
 RENEWALS = counter(
-    Place.OWNER,
+    PageSection.OWNER,
     "papayapick_pool_renewals",
     "Renewals of a worker's lease",
     ("outcome",),
 )
 TAKEOVERS = counter(
-    Place.OWNER, "papayapick_pool_takeovers", "Pools taken by this host"
+    PageSection.OWNER, "papayapick_pool_takeovers", "Pools taken by this host"
 )
 TAKEOVER_SECONDS = histogram(
     "papayapick_pool_takeover_seconds",
     "From the claim to knowing where all tasks of before run",
 )
 OWNED_POOLS = gauge(
-    Place.STANDING, "papayapick_pool_owned", "Pools that this host owns now"
+    PageSection.HOST_STATE, "papayapick_pool_owned", "Pools that this host owns now"
 )
