--- a/papayapick/observability/queries.py
+++ b/papayapick/observability/queries.py
@@ -64,7 +64,7 @@
 def metrics_page():
     """Return the page of all metrics as Markdown."""
     rows = [_row(*found) for found in Metrics().describe()]
-    entry_rows = [_row(*found) for found in registry.described()]
+    entry_rows = [_row(*found) for found in registry.describe_metrics()]
     return (
         _PAGE_HEAD
         + "".join(row + "\n" for row in rows)
--- a/papayapick/observability/registry.py
+++ b/papayapick/observability/registry.py
@@ -12,7 +12,14 @@
     generate_latest,
 )
 
-__all__ = ["PageSection", "counter", "described", "gauge", "histogram", "metrics_text"]
+__all__ = [
+    "PageSection",
+    "counter",
+    "describe_metrics",
+    "gauge",
+    "histogram",
+    "metrics_text",
+]
 
 # The moment at which a series began takes a line for each, and nobody asks for it.
 disable_created_metrics()
@@ -110,7 +117,7 @@
     return generate_latest(_PAGE)
 
 
-def described():
+def describe_metrics():
     """Return name, kind, labels and meaning of each metric, in the page's order.
 
     Returns
--- a/tests/observability/test_registry.py
+++ b/tests/observability/test_registry.py
@@ -7,7 +7,7 @@
 
 from papayapick.entry import exceptions, metrics
 from papayapick.jobs.state import JobStatus
-from papayapick.observability.registry import described, metrics_text
+from papayapick.observability.registry import describe_metrics, metrics_text
 from papayapick.pool import metrics as pool
 from papayapick.pool.reports import EndOutcome, StartOutcome
 
@@ -110,9 +110,11 @@
 
 
 def test_histograms_come_last_and_whole(page):
-    kinds = [kind for _, kind, _, _ in described()]
+    kinds = [kind for _, kind, _, _ in describe_metrics()]
     assert kinds == sorted(kinds, key=lambda kind: kind == "histogram")
-    histograms = [name for name, kind, _, _ in described() if kind == "histogram"]
+    histograms = [
+        name for name, kind, _, _ in describe_metrics() if kind == "histogram"
+    ]
     names = [name_of(line) for line in samples(page)]
     first = min(names.index(name + "_bucket") for name in histograms)
     series = {
@@ -126,7 +128,7 @@
     names = {name_of(line) for line in samples(page)}
     assert not {name for name in names if name.endswith("_created")}
     families = {family.name for family in text_string_to_metric_families(page)}
-    for name, _, _, _ in described():
+    for name, _, _, _ in describe_metrics():
         assert name.removesuffix("_total") in families
 
 
