--- a/papayapick/observability/stories.py
+++ b/papayapick/observability/stories.py
@@ -2,7 +2,7 @@
 
 from papayapick.observability.vacancies import read_vacancies
 
-__all__ = ["Story"]
+__all__ = ["RequestTimeline"]
 
 # Most telling first: what made a request fail or wait.
 _CAUSES = (
@@ -50,7 +50,7 @@
 _PLACED = ("step placed", "run ended", "job ended")
 
 
-class Story:
+class RequestTimeline:
     """Hold what the logs say of one request.
 
     Parameters
--- a/tests/observability/test_stories.py
+++ b/tests/observability/test_stories.py
@@ -5,7 +5,7 @@
 import pytest
 
 from papayapick.observability.logged import read_lines
-from papayapick.observability.stories import Story
+from papayapick.observability.stories import RequestTimeline
 from tests.management.commands import run_command
 
 JOB = "5c0e7a21d94b36f8"
@@ -20,7 +20,7 @@
 
 
 def _story(*texts):
-    return Story(JOB, read_lines(texts))
+    return RequestTimeline(JOB, read_lines(texts))
 
 
 def test_wait_over_midnight_is_the_longest():
