--- a/tests/observability/test_stories.py
+++ b/tests/observability/test_timelines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from papayapick.observability.logged import read_lines
-from papayapick.observability.stories import RequestTimeline
+from papayapick.observability.timelines import RequestTimeline
 from tests.management.commands import run_command
 
 JOB = "5c0e7a21d94b36f8"
