--- a/papayapick/management/commands/logs.py
+++ b/papayapick/management/commands/logs.py
@@ -9,7 +9,7 @@
 )
 from papayapick.management.exit_codes import EXIT_OK
 from papayapick.management.times import clock_time
-from papayapick.observability.logged import read_lines
+from papayapick.observability.log_reader import read_lines
 from papayapick.observability.timelines import RequestTimeline
 from papayapick.observability.waits import read_waits, sum_spans, sum_waits
 
--- a/tests/observability/test_timelines.py
+++ b/tests/observability/test_timelines.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from papayapick.observability.logged import read_lines
+from papayapick.observability.log_reader import read_lines
 from papayapick.observability.timelines import RequestTimeline
 from tests.management.commands import run_command
 
