--- a/papayapick/observability/__init__.py
+++ b/papayapick/observability/__init__.py
@@ -6,7 +6,7 @@
     "AccessLog": "access",
     "Metrics": "metrics",
     "Tracing": "traces",
-    "configure_logs": "lines",
+    "configure_logs": "log_setup",
     "current_fields": "fields",
     "get_logger": "logs",
     "log_fields": "fields",
