--- a/papayapick/management/asking.py
+++ b/papayapick/management/asking.py
@@ -7,7 +7,7 @@
 from papayapick.routing import has_moved
 from papayapick.wire import PeerRefused, WireError
 
-__all__ = ["OwnerAsking"]
+__all__ = ["OwnerClient"]
 
 # A takeover is over within the silence after which a peer counts as dead, 2 s as
 # set, and an inventory; a gateway follows a shard for as long.
@@ -15,7 +15,7 @@
 _LOOK_SECONDS = 0.05
 
 
-class OwnerAsking:
+class OwnerClient:
     """Bring a question to whoever owns a shard.
 
     Parameters
--- a/papayapick/management/commands/request.py
+++ b/papayapick/management/commands/request.py
@@ -3,7 +3,7 @@
 import base64
 import json
 
-from papayapick.management.asking import OwnerAsking
+from papayapick.management.asking import OwnerClient
 from papayapick.management.base import Command
 from papayapick.management.commands.pool import current_configuration, find_job
 from papayapick.management.exceptions import RequestIdInvalid
@@ -55,7 +55,7 @@
             return OperatorPeers.from_config(settings, hosts.fetch(), self.operator())
 
         message = self._message(shard, request_id)
-        asking = OwnerAsking(table, connect, self.clock)
+        asking = OwnerClient(table, connect, self.clock)
         self._show(asking.ask(shard, message))
         return EXIT_OK
 
--- a/tests/management/test_asking.py
+++ b/tests/management/test_asking.py
@@ -5,7 +5,7 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.management.asking import OwnerAsking
+from papayapick.management.asking import OwnerClient
 from papayapick.management.exceptions import OwnerMissing
 from papayapick.wire import PeerRefused, PeerTimeout, PeerUnreachable
 from papayapick.wire.messages import WorkCancel, WorkState
@@ -54,7 +54,7 @@
 
 
 def ask(owners, answers):
-    asking = OwnerAsking(
+    asking = OwnerClient(
         FakeTable(*owners), lambda: FakePeers(answers), SteppingClock()
     )
     message = WorkCancel(shard="hobart-a.0", request_id="hobart-a.0.r")
