--- a/papayapick/management/commands/request.py
+++ b/papayapick/management/commands/request.py
@@ -3,11 +3,11 @@
 import base64
 import json
 
-from papayapick.management.asking import OwnerClient
 from papayapick.management.base import Command
 from papayapick.management.commands.pool import current_configuration, find_job
 from papayapick.management.exceptions import RequestIdInvalid
 from papayapick.management.exit_codes import EXIT_OK
+from papayapick.management.owner_client import OwnerClient
 from papayapick.management.peers import OperatorPeers
 from papayapick.management.pools import PoolsView
 from papayapick.management.reasons import job_reasons
--- a/tests/management/test_asking.py
+++ b/tests/management/test_owner_client.py
@@ -5,8 +5,8 @@
 import pytest
 
 from papayapick.clock import ManualClock
-from papayapick.management.asking import OwnerClient
 from papayapick.management.exceptions import OwnerMissing
+from papayapick.management.owner_client import OwnerClient
 from papayapick.wire import PeerRefused, PeerTimeout, PeerUnreachable
 from papayapick.wire.messages import WorkCancel, WorkState
 
