--- a/papayapick/management/commands/logs.py
+++ b/papayapick/management/commands/logs.py
@@ -8,7 +8,7 @@
     SpanInvalid,
 )
 from papayapick.management.exit_codes import EXIT_OK
-from papayapick.management.times import clock_time
+from papayapick.management.times import format_utc
 from papayapick.observability.log_reader import read_lines
 from papayapick.observability.timelines import RequestTimeline
 from papayapick.observability.waits import read_waits, sum_spans, sum_waits
@@ -63,7 +63,7 @@
             raise NoWaitLogged(lines=len(lines))
         self._show_sums("in all", sum_waits(waits))
         for begin, sums in sum_spans(waits, every):
-            self._show_sums(clock_time(begin), sums)
+            self._show_sums(format_utc(begin), sums)
         if reversals:
             self._show_reversals(reversals)
         return EXIT_OK
@@ -136,7 +136,7 @@
 def _as_mapping(vacancy):
     return {
         "pool": vacancy.pool,
-        "begin": clock_time(vacancy.begin),
+        "begin": format_utc(vacancy.begin),
         "seconds": round(vacancy.seconds, 3),
         "is_over": vacancy.is_over,
     }
--- a/papayapick/management/commands/pool.py
+++ b/papayapick/management/commands/pool.py
@@ -4,7 +4,7 @@
 from papayapick.management.exceptions import ConfigurationMissing, JobMissing
 from papayapick.management.exit_codes import EXIT_OK, EXIT_PARTLY
 from papayapick.management.pools import PoolsView
-from papayapick.management.times import clock_time
+from papayapick.management.times import format_utc
 
 __all__ = ["PoolCommand", "current_configuration", "find_job"]
 
@@ -110,7 +110,7 @@
     def _job(self, view, configuration):
         identifier = self.options["<id>"]
         job = find_job(view, configuration, identifier)
-        accepted = clock_time(job.accepted_at)
+        accepted = format_utc(job.accepted_at)
         self.output.write(
             f"{identifier}: {job.status}{', cancelled' if job.is_cancelled else ''}; "
             f"queue {job.queue}, pool {job.pool}, accepted {accepted} UTC",
--- a/papayapick/management/reasons.py
+++ b/papayapick/management/reasons.py
@@ -1,7 +1,7 @@
 """Explain from the store why a job of steps waits, or where it was placed."""
 
 from papayapick.jobs.state import JobStatus
-from papayapick.management.times import clock_time
+from papayapick.management.times import format_utc
 from papayapick.placer.explanations import Reason
 
 __all__ = ["job_reasons"]
@@ -98,5 +98,5 @@
     document = job.document
     if not document.is_timed or job.steps:
         return []
-    due = clock_time(document.due_at(0))
+    due = format_utc(document.due_at(0))
     return [Reason("waits.for-due-time", f"its first occurrence is due {due} UTC")]
