--- a/papayapick/management/views.py
+++ b/papayapick/management/views.py
@@ -42,7 +42,7 @@
             return True
         return (self.served_by, self.served_epoch) == (self.owner, self.epoch)
 
-    def hear(self, host, summary):
+    def record_claim(self, host, summary):
         """Note a process's claim unless one with a higher epoch was heard."""
         if self.served_by and summary.epoch <= self.served_epoch:
             return
@@ -138,7 +138,7 @@
     for host, beat in heartbeats.items():
         for owner, summary in _claims(host, beat):
             shard = shards.setdefault(summary.shard, ShardView(summary.shard))
-            shard.hear(owner, summary)
+            shard.record_claim(owner, summary)
     return CellView(head, shards, entries, heartbeats)
 
 
--- a/tests/management/test_cell.py
+++ b/tests/management/test_cell.py
@@ -77,7 +77,7 @@
     shards = {row.shard: ShardView(row.shard, row) for row in rows}
     for host, beat in heartbeats.items():
         for summary in beat.shards if beat else ():
-            shards.setdefault(summary.shard, ShardView(summary.shard)).hear(
+            shards.setdefault(summary.shard, ShardView(summary.shard)).record_claim(
                 host, summary
             )
     return CellView(Head(sequence, "d", "ana", None, 1), shards, [], heartbeats)
