--- a/papayapick/management/commands/request.py
+++ b/papayapick/management/commands/request.py
@@ -10,7 +10,7 @@
 from papayapick.management.owner_client import OwnerClient
 from papayapick.management.peers import OperatorPeers
 from papayapick.management.pools import PoolsView
-from papayapick.management.reasons import job_reasons
+from papayapick.management.reasons import explain_job
 from papayapick.wire.messages import WorkCancel, WorkQuery
 
 __all__ = ["RequestCommand"]
@@ -66,7 +66,7 @@
         is_reached = any(
             host.is_reached for host in view.hosts() if host.name == owner.owner
         )
-        reasons = job_reasons(job, owner, is_reached, view.workers(job.pool))
+        reasons = explain_job(job, owner, is_reached, view.workers(job.pool))
         told = [reason.as_mapping() for reason in reasons]
         values = {"request": identifier, "state": job.status, "reasons": told}
         text = f"{identifier}: {job.status}" + _as_lines(told)
--- a/papayapick/management/reasons.py
+++ b/papayapick/management/reasons.py
@@ -4,7 +4,7 @@
 from papayapick.management.times import format_utc
 from papayapick.placer.explanations import Reason
 
-__all__ = ["job_reasons"]
+__all__ = ["explain_job"]
 
 _ENDED_CODES = {
     JobStatus.COMPLETED: "ended.done",
@@ -13,7 +13,7 @@
 }
 
 
-def job_reasons(job, owner, is_owner_reached, workers):
+def explain_job(job, owner, is_owner_reached, workers):
     """Return the reasons for the state of a job, those that decide first.
 
     Parameters
--- a/tests/management/test_reasons.py
+++ b/tests/management/test_reasons.py
@@ -6,7 +6,7 @@
 from papayapick.jobs.state import JobStatus
 from papayapick.ledger import Amounts
 from papayapick.management.pools import JobView, StepView
-from papayapick.management.reasons import job_reasons
+from papayapick.management.reasons import explain_job
 from papayapick.ownership.pools import PoolRow
 from papayapick.pool.reports import Registration
 
@@ -55,6 +55,6 @@
     ],
 )
 def test_reason_names_the_cause(job, is_reached, codes, text):
-    found = job_reasons(job, OWNER, is_reached, [WORKER])
+    found = explain_job(job, OWNER, is_reached, [WORKER])
     assert [reason.code for reason in found] == codes
     assert text in found[0].text
