--- a/papayapick/checks/__init__.py
+++ b/papayapick/checks/__init__.py
@@ -11,11 +11,11 @@
 )
 from papayapick.checks.findings import Finding
 from papayapick.checks.queries import register, run_checks
-from papayapick.checks.surroundings import Surroundings
+from papayapick.checks.surroundings import CheckContext
 
 __all__ = [
     "Finding",
-    "Surroundings",
+    "CheckContext",
     "bundles",
     "deployment",
     "keys",
--- a/papayapick/checks/queries.py
+++ b/papayapick/checks/queries.py
@@ -1,6 +1,6 @@
 """Register and run checks."""
 
-from papayapick.checks.surroundings import Surroundings
+from papayapick.checks.surroundings import CheckContext
 
 __all__ = ["register", "run_checks"]
 
@@ -30,5 +30,5 @@
     -------
     list of Finding
     """
-    found = Surroundings(bundles, is_deployed, environment, clock)
+    found = CheckContext(bundles, is_deployed, environment, clock)
     return [finding for check in _CHECKS for finding in check(found)]
--- a/papayapick/checks/surroundings.py
+++ b/papayapick/checks/surroundings.py
@@ -21,10 +21,10 @@
 from papayapick.conf.exceptions import SettingsError
 from papayapick.conf.setting import OPERATOR
 
-__all__ = ["Surroundings"]
+__all__ = ["CheckContext"]
 
 
-class Surroundings:
+class CheckContext:
     """Read settings and platform at the first use, once for all checks.
 
     Parameters
--- a/tests/checks/test_checks.py
+++ b/tests/checks/test_checks.py
@@ -10,7 +10,7 @@
 
 from demo.cells import ROOT
 from papayapick.checks import (
-    Surroundings,
+    CheckContext,
     bundles,
     keys,
     package,
@@ -72,14 +72,14 @@
     environment = _environment(tmp_path)
     environment.update(change)
     environment = {name: value for name, value in environment.items() if value}
-    found = Surroundings([], True, environment)
+    found = CheckContext([], True, environment)
     checks = (settings.check_settings, settings.check_variables)
     checks += (settings.check_intervals,)
     assert [one for check in checks for one in ids(check(found))] == expected
 
 
 def test_misspelt_variable_is_told_its_nearest():
-    found = Surroundings([], True, {"PAPAYAPICK_POL_SECONDS": "1"})
+    found = CheckContext([], True, {"PAPAYAPICK_POL_SECONDS": "1"})
     (finding,) = settings.check_variables(found)
     assert "PAPAYAPICK_POLL_SECONDS" in finding.hint
 
@@ -102,7 +102,7 @@
     path = tmp_path / "cell.key"
     path.write_bytes(data)
     path.chmod(mode)
-    found = list(keys.check_cell_key(Surroundings([], True, environment)))
+    found = list(keys.check_cell_key(CheckContext([], True, environment)))
     assert ids(found) == expected
     assert data.decode() not in " ".join(str(one) for one in found)
 
@@ -125,7 +125,7 @@
     path = tmp_path / "operators.json"
     path.write_text(json.dumps({name: KEY.decode() for name in names}))
     path.chmod(mode)
-    found = Surroundings([], True, environment)
+    found = CheckContext([], True, environment)
     assert ids(keys.check_operator_keys(found)) == expected
 
 
@@ -146,12 +146,12 @@
     path = tmp_path / "bundle.json"
     if text is not None:
         path.write_text(text)
-    assert ids(bundles.check_bundles(Surroundings([str(path)]))) == [expected]
+    assert ids(bundles.check_bundles(CheckContext([str(path)]))) == [expected]
 
 
 def test_bundle_of_another_cell_is_found(tmp_path):
     environment = {**_environment(tmp_path), "PAPAYAPICK_CELL": "wayleave"}
-    found = Surroundings([BUNDLE], True, environment)
+    found = CheckContext([BUNDLE], True, environment)
     assert ids(bundles.check_bundles(found)) == ["bundle.E003"]
 
 
@@ -220,7 +220,7 @@
     ("change", "expected"), [row[1:] for row in LISTS], ids=[row[0] for row in LISTS]
 )
 def test_bundle_and_live_list_are_compared(change, expected):
-    found = Surroundings([BUNDLE])
+    found = CheckContext([BUNDLE])
     found.entries = change(_whole_list())
     checks = (bundles.check_services, bundles.check_hosts, bundles.check_teams)
     assert [one for check in checks for one in ids(check(found))] == expected
@@ -256,14 +256,14 @@
     ("date", "expected"), [row[1:] for row in CLOCKS], ids=[row[0] for row in CLOCKS]
 )
 def test_wrong_clock_is_found(date, expected):
-    found = Surroundings([], clock=ManualClock(NOW))
+    found = CheckContext([], clock=ManualClock(NOW))
     found.settings = Settings({"hosts_url": "http://127.0.0.1:1"})
     found.pool = FakePool(date)
     assert ids(platform.check_clock(found)) == expected
 
 
 def test_platform_that_does_not_answer_is_found(tmp_path):
-    found = Surroundings([], True, _environment(tmp_path))
+    found = CheckContext([], True, _environment(tmp_path))
     assert ids(platform.check_reach(found)) == [
         "platform.E001",
         "platform.E002",
@@ -306,7 +306,7 @@
     environment = footfall._environment()
     key.write_bytes(Path(environment["PAPAYAPICK_CELL_KEY"]).read_bytes())
     environment["PAPAYAPICK_CELL_KEY"] = str(key)
-    found = Surroundings([], True, environment)
+    found = CheckContext([], True, environment)
     change(environment, found)
     assert ids(processes.check_processes(found)) == expected
 
--- a/tests/checks/test_deployment.py
+++ b/tests/checks/test_deployment.py
@@ -4,7 +4,7 @@
 
 from demo.cells import ROOT
 from papayapick.checks import deployment
-from papayapick.checks.surroundings import Surroundings
+from papayapick.checks.surroundings import CheckContext
 from tests.checks.test_checks import ids
 
 ROLE = """
@@ -70,6 +70,6 @@
 def test_settings_file_is_looked_at_where_one_is_named(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text("node = 7")
-    named = Surroundings(environment={"PAPAYAPICK_CONFIG": str(path)})
+    named = CheckContext(environment={"PAPAYAPICK_CONFIG": str(path)})
     assert ids(deployment.check_platform_settings(named)) == ["deployment.E007"]
-    assert ids(deployment.check_platform_settings(Surroundings(environment={}))) == []
+    assert ids(deployment.check_platform_settings(CheckContext(environment={}))) == []
