--- a/papayapick/checks/__init__.py
+++ b/papayapick/checks/__init__.py
@@ -9,9 +9,9 @@
     processes,
     settings,
 )
+from papayapick.checks.context import CheckContext
 from papayapick.checks.findings import Finding
 from papayapick.checks.queries import register, run_checks
-from papayapick.checks.surroundings import CheckContext
 
 __all__ = [
     "Finding",
--- a/papayapick/checks/bundles.py
+++ b/papayapick/checks/bundles.py
@@ -1,9 +1,9 @@
 """Check bundles, and a bundle against the live list."""
 
 from papayapick.bundle import BundleInvalid
+from papayapick.checks.context import read_bundle
 from papayapick.checks.findings import Finding
 from papayapick.checks.queries import register
-from papayapick.checks.surroundings import read_bundle
 from papayapick.clients.hosts import GATEWAY_KIND, INSTANCE, PLACER_KIND, WORKER
 from papayapick.ledger import Amounts
 
@@ -11,10 +11,10 @@
 
 
 @register
-def check_bundles(surroundings):
+def check_bundles(context):
     """Find bundle documents that break the schema or name another cell."""
-    settings = surroundings.settings
-    for path in surroundings.bundles:
+    settings = context.settings
+    for path in context.bundles:
         try:
             bundle = read_bundle(path)
         except (OSError, ValueError) as error:
@@ -29,9 +29,9 @@
 
 
 @register
-def check_services(surroundings):
+def check_services(context):
     """Find services without an instance, and instances without a service."""
-    bundle, entries = surroundings.compared_bundle, surroundings.entries
+    bundle, entries = context.compared_bundle, context.entries
     if bundle is None or entries is None:
         return
     listed = {entry.service for entry in entries if entry.kind == INSTANCE}
@@ -44,9 +44,9 @@
 
 
 @register
-def check_hosts(surroundings):
+def check_hosts(context):
     """Find zones without placers or gateways, and hosts outside the bundle."""
-    bundle, entries = surroundings.compared_bundle, surroundings.entries
+    bundle, entries = context.compared_bundle, context.entries
     if bundle is None or entries is None:
         return
     zones = bundle.zones()
@@ -66,9 +66,9 @@
 
 
 @register
-def check_teams(surroundings):
+def check_teams(context):
     """Find a team's quota that no cell of this size could give."""
-    bundle, entries = surroundings.compared_bundle, surroundings.entries
+    bundle, entries = context.compared_bundle, context.entries
     if bundle is None or entries is None:
         return
     total = Amounts()
--- a/papayapick/checks/deployment.py
+++ b/papayapick/checks/deployment.py
@@ -29,7 +29,7 @@
 
 
 @register
-def check_deploy_file(surroundings, root=None):
+def check_deploy_file(context, root=None):
     """Find roles that the platform could not start, or would look at in vain."""
     path = (root or find_root()) / _DEPLOY_FILE
     if not path.exists():
@@ -66,7 +66,7 @@
 
 
 @register
-def check_days(surroundings, root=None):
+def check_days(context, root=None):
     """Find days that the bench could not play, or not under their name."""
     folder = (root or find_root()) / _DAYS_FOLDER
     for path in sorted(folder.glob("*.toml")):
@@ -91,9 +91,9 @@
 
 
 @register
-def check_platform_settings(surroundings):
+def check_platform_settings(context):
     """Find a settings file of the platform that an entry host would refuse."""
-    environment = surroundings.environment if surroundings else os.environ
+    environment = context.environment if context else os.environ
     if not environment.get(SETTINGS_VARIABLE):
         return
     try:
--- a/papayapick/checks/keys.py
+++ b/papayapick/checks/keys.py
@@ -16,9 +16,9 @@
 
 
 @register
-def check_cell_key(surroundings):
+def check_cell_key(context):
     """Find a cell key that is wrong, or that others can read."""
-    settings = surroundings.settings
+    settings = context.settings
     if settings is None:
         return
     try:
@@ -41,9 +41,9 @@
 
 
 @register
-def check_operator_keys(surroundings):
+def check_operator_keys(context):
     """Find operators' keys that are wrong, or that others can change."""
-    settings = surroundings.settings
+    settings = context.settings
     if settings is None:
         return
     try:
--- a/papayapick/checks/package.py
+++ b/papayapick/checks/package.py
@@ -11,7 +11,7 @@
 
 
 @register
-def check_defaults(surroundings):
+def check_defaults(context):
     """Find defaults outside their own range."""
     for setting in SETTINGS:
         if setting.kind in ("integer", "number") and setting.default is not None:
@@ -22,7 +22,7 @@
 
 
 @register
-def check_schema(surroundings):
+def check_schema(context):
     """Find a message schema that does not carry its classes."""
     query = WorkQuery(shard="zone.0", request_id="r")
     _, payload, _ = decode(encode(1, query))
--- a/papayapick/checks/platform.py
+++ b/papayapick/checks/platform.py
@@ -20,18 +20,18 @@
 
 
 @register
-def check_reach(surroundings):
+def check_reach(context):
     """Find services of the platform that do not answer."""
-    if surroundings.settings is None:
+    if context.settings is None:
         return
     try:
-        surroundings.table.read("bundle/head")
+        context.table.read("bundle/head")
     except TableUnavailable as error:
         yield Finding("platform.E001", f"table: {error}", _LOOK)
-    if surroundings.entries is None:
+    if context.entries is None:
         yield Finding("platform.E002", "the live list does not answer", _LOOK)
     try:
-        surroundings.objects.get(_ABSENT_OBJECT)
+        context.objects.get(_ABSENT_OBJECT)
     except ObjectMissing:
         # The store has answered that there is no such object, as there is not.
         return
@@ -40,17 +40,17 @@
 
 
 @register
-def check_clock(surroundings):
+def check_clock(context):
     """Find a clock that differs from the platform's.
 
     Deadlines of durable work are calendar times: with a clock that is ahead,
     work is refused as late before its time.
     """
-    if surroundings.settings is None:
+    if context.settings is None:
         return
-    began = surroundings.clock.time()
+    began = context.clock.time()
     try:
-        answer = surroundings.pool.request("GET", surroundings.settings.hosts_url)
+        answer = context.pool.request("GET", context.settings.hosts_url)
     except (NotSent, AnswerMissing):
         return
     told = answer.headers.get("Date")
@@ -58,7 +58,7 @@
     if stamp is None:
         return
     # The header counts whole seconds, and the answer took its time.
-    ended = surroundings.clock.time()
+    ended = context.clock.time()
     ahead, behind = began - stamp - 1, stamp - ended
     difference = max(ahead, behind)
     if difference > _LARGEST_DIFFERENCE_SECONDS:
--- a/papayapick/checks/processes.py
+++ b/papayapick/checks/processes.py
@@ -13,20 +13,20 @@
 
 
 @register
-def check_processes(surroundings):
+def check_processes(context):
     """Find processes that are silent, or that run another bundle."""
-    if surroundings.settings is None or surroundings.entries is None:
+    if context.settings is None or context.entries is None:
         return
     try:
         peers = OperatorPeers.from_config(
-            surroundings.settings, surroundings.entries, getpass.getuser()
+            context.settings, context.entries, getpass.getuser()
         )
     except CellKeyInvalid:
         # Told by the check of the keys.
         return
     with peers:
         heartbeats = peers.heartbeats()
-    sequence = _sequence_of(surroundings)
+    sequence = _sequence_of(context)
     for name, heartbeat in sorted(heartbeats.items()):
         if heartbeat is None:
             message = f"{name} is on the live list and does not answer"
@@ -37,8 +37,8 @@
             yield Finding("process.W002", message, "look again, then at its log")
 
 
-def _sequence_of(surroundings):
+def _sequence_of(context):
     try:
-        return read_head(surroundings.table).sequence
+        return read_head(context.table).sequence
     except TableUnavailable:
         return None
--- a/papayapick/checks/queries.py
+++ b/papayapick/checks/queries.py
@@ -1,6 +1,6 @@
 """Register and run checks."""
 
-from papayapick.checks.surroundings import CheckContext
+from papayapick.checks.context import CheckContext
 
 __all__ = ["register", "run_checks"]
 
--- a/papayapick/checks/settings.py
+++ b/papayapick/checks/settings.py
@@ -17,16 +17,16 @@
 
 
 @register
-def check_settings(surroundings):
+def check_settings(context):
     """Find a setting that is missing or not allowed."""
-    if not surroundings.is_deployed:
+    if not context.is_deployed:
         return
     try:
-        Settings.from_config(OPERATOR, environment=surroundings.environment)
+        Settings.from_config(OPERATOR, environment=context.environment)
     except SettingsError as error:
         yield Finding("settings.E001", str(error), _PAGE)
     for setting in SETTINGS:
-        given = surroundings.environment.get(setting.variable)
+        given = context.environment.get(setting.variable)
         if given is not None and OPERATOR not in setting.programs:
             try:
                 setting.parse(given)
@@ -35,12 +35,12 @@
 
 
 @register
-def check_variables(surroundings):
+def check_variables(context):
     """Find variables that no program reads: most often a slip of the pen."""
-    if not surroundings.is_deployed:
+    if not context.is_deployed:
         return
     known = {setting.variable for setting in SETTINGS}
-    for name in sorted(surroundings.environment):
+    for name in sorted(context.environment):
         if name.startswith(_PREFIX) and name not in known:
             near = difflib.get_close_matches(name, known, 1)
             hint = f"did you mean {near[0]}" if near else _PAGE
@@ -48,11 +48,11 @@
 
 
 @register
-def check_intervals(surroundings):
+def check_intervals(context):
     """Find intervals that contradict each other."""
-    if not surroundings.is_deployed:
+    if not context.is_deployed:
         return
-    sources = read_sources(surroundings.environment)
+    sources = read_sources(context.environment)
     # A wrong value is told by check_settings; here its default stands for it.
     found = {one.setting.name: one.value_or_default for one in sources}
     least = _HEARTBEATS_BEFORE_DEATH * found["heartbeat_seconds"]
--- a/tests/checks/test_deployment.py
+++ b/tests/checks/test_deployment.py
@@ -4,7 +4,7 @@
 
 from demo.cells import ROOT
 from papayapick.checks import deployment
-from papayapick.checks.surroundings import CheckContext
+from papayapick.checks.context import CheckContext
 from tests.checks.test_checks import ids
 
 ROLE = """
