--- a/papayapick/checks/platform.py
+++ b/papayapick/checks/platform.py
@@ -12,7 +12,7 @@
     TableUnavailable,
 )
 
-__all__ = ["check_clock", "check_reach"]
+__all__ = ["check_clock", "check_reachability"]
 
 _LARGEST_DIFFERENCE_SECONDS = 2.0
 _LOOK = "look at the address, and at the service"
@@ -20,7 +20,7 @@
 
 
 @register
-def check_reach(context):
+def check_reachability(context):
     """Find services of the platform that do not answer."""
     if context.settings is None:
         return
--- a/tests/checks/test_checks.py
+++ b/tests/checks/test_checks.py
@@ -264,7 +264,7 @@
 
 def test_platform_that_does_not_answer_is_found(tmp_path):
     found = CheckContext([], True, _environment(tmp_path))
-    assert ids(platform.check_reach(found)) == [
+    assert ids(platform.check_reachability(found)) == [
         "platform.E001",
         "platform.E002",
         "platform.E003",
