--- a/papayapick/management/commands/logs.py
+++ b/papayapick/management/commands/logs.py
@@ -96,21 +96,24 @@
         )
 
     def _explain(self, lines):
-        story = RequestTimeline(self.options["<id>"], lines)
-        if not story.own:
-            raise RequestNotLogged(request_id=story.request_id, lines=len(lines))
-        deciding = story.deciding()
-        shown = story.own
+        timeline = RequestTimeline(self.options["<id>"], lines)
+        if not timeline.request_lines:
+            raise RequestNotLogged(request_id=timeline.request_id, lines=len(lines))
+        deciding = timeline.deciding()
+        shown = timeline.request_lines
         if self.options["--around"]:
-            shown = sorted([*shown, *story.around()], key=lambda line: line.seconds)
+            shown = sorted(
+                [*shown, *timeline.context_lines()], key=lambda line: line.seconds
+            )
         for line in shown:
             self._show(line, line is deciding)
-        vacancies = [_as_mapping(vacancy) for vacancy in story.vacancies()]
+        vacancies = [_as_mapping(vacancy) for vacancy in timeline.vacancies()]
         self.output.write(
-            f"{story.request_id}: {story.status}; decided by: {deciding.event} at "
-            f"{deciding.host}, {deciding.shown()}" + _as_text(vacancies),
-            request=story.request_id,
-            status=story.status,
+            f"{timeline.request_id}: {timeline.status}; decided by: "
+            f"{deciding.event} at {deciding.host}, {deciding.format_fields()}"
+            + _as_text(vacancies),
+            request=timeline.request_id,
+            status=timeline.status,
             deciding=deciding.fields,
             vacancies=vacancies,
         )
@@ -127,7 +130,7 @@
     def _show(self, line, is_deciding):
         self.output.write(
             f"{_MARKS[is_deciding]} {line.time} {line.host} {line.event}: "
-            f"{line.shown()}",
+            f"{line.format_fields()}",
             is_deciding=is_deciding,
             **line.fields,
         )
--- a/papayapick/observability/log_reader.py
+++ b/papayapick/observability/log_reader.py
@@ -35,12 +35,12 @@
         self.time = fields["time"]
         self.seconds = _seconds(self.time)
 
-    def names(self, request_id):
+    def mentions(self, request_id):
         """Return whether the line is about a request."""
         named = self.fields.get("request_ids") or ()
         return self.fields.get("request_id") == request_id or request_id in named
 
-    def shown(self):
+    def format_fields(self):
         """Return its own fields as text, without those that each line has."""
         common = ("time", "level", "event", "host", "zone", "request_id")
         own = {key: one for key, one in self.fields.items() if key not in common}
--- a/papayapick/observability/timelines.py
+++ b/papayapick/observability/timelines.py
@@ -61,19 +61,19 @@
 
     Attributes
     ----------
-    own : list of Line
+    request_lines : list of Line
         Those that name the request.
     pool : str or None
         None where no line tells it.
     """
 
-    __slots__ = ("_lines", "own", "pool", "request_id")
+    __slots__ = ("_lines", "request_lines", "pool", "request_id")
 
     def __init__(self, request_id, lines):
         self.request_id = request_id
         self._lines = lines
-        self.own = [line for line in lines if line.names(request_id)]
-        named = (line.fields.get("pool") for line in self.own)
+        self.request_lines = [line for line in lines if line.mentions(request_id)]
+        named = (line.fields.get("pool") for line in self.request_lines)
         self.pool = next(filter(None, named), None)
 
     @property
@@ -82,13 +82,13 @@
         ended = self._last("job ended")
         if ended is not None:
             return ended.fields["status"]
-        if any(line.event in _ACCEPTED for line in self.own):
+        if any(line.event in _ACCEPTED for line in self.request_lines):
             return "accepted"
         return "refused" if self._last(_REFUSED) is not None else "unknown"
 
     @property
     def _placed(self):
-        found = [line for line in self.own if line.event in _PLACED]
+        found = [line for line in self.request_lines if line.event in _PLACED]
         return found[0] if found else None
 
     @property
@@ -103,7 +103,7 @@
         list of Vacancy
             Their parts after its acceptance; none where no line tells of any.
         """
-        accepted = [line for line in self.own if line.event in _ACCEPTED]
+        accepted = [line for line in self.request_lines if line.event in _ACCEPTED]
         if self.pool is None or not accepted:
             return []
         end = (self._placed or self._lines[-1]).seconds
@@ -116,7 +116,7 @@
         ]
         return [part for part in parts if part is not None]
 
-    def around(self):
+    def context_lines(self):
         """Return the lines that tell of its surroundings.
 
         Returns
@@ -125,16 +125,20 @@
             Between its first and last; of one that was accepted and is not placed,
             until the end of the logs.
         """
-        if not self.own:
+        if not self.request_lines:
             return []
-        first = self.own[0].seconds
-        last = self._lines[-1].seconds if self._is_unplaced else self.own[-1].seconds
+        first = self.request_lines[0].seconds
+        last = (
+            self._lines[-1].seconds
+            if self._is_unplaced
+            else self.request_lines[-1].seconds
+        )
         return [
             line
             for line in self._lines
             if line.event in _AROUND
             and first <= line.seconds <= last
-            and not line.names(self.request_id)
+            and not line.mentions(self.request_id)
             and not self._is_of_another_pool(line)
         ]
 
@@ -149,13 +153,13 @@
             the most telling line within the longest time between two of its steps,
             or from the last one to the end of the logs while it is not placed.
         """
-        if not self.own:
+        if not self.request_lines:
             return None
         status = self.status
         if status == "refused":
             return self._last(_REFUSED)
         if status == "failed":
-            return self._last_failure() or self.own[-1]
+            return self._last_failure() or self.request_lines[-1]
         if status == "cancelled":
             return self._last("cancel stored") or self._last("job ended")
         return self._cause_of_longest_wait()
@@ -165,13 +169,13 @@
         return None not in (named, self.pool) and named != self.pool
 
     def _last(self, event):
-        found = [line for line in self.own if line.event == event]
+        found = [line for line in self.request_lines if line.event == event]
         return found[-1] if found else None
 
     def _last_failure(self):
         failures = [
             line
-            for line in self.own
+            for line in self.request_lines
             if line.event == "run ended" and line.fields.get("outcome") == "failed"
         ]
         # Others of its tasks may fail after the one that decided.
@@ -181,12 +185,12 @@
         return failures[-1] if failures else None
 
     def _cause_of_longest_wait(self):
-        stages = [line for line in self.own if line.event in _MILESTONES]
+        stages = [line for line in self.request_lines if line.event in _MILESTONES]
         if self._is_unplaced:
             # It waits on after its last line.
             stages.append(self._lines[-1])
         if len(stages) < 2:
-            return self.own[-1]
+            return self.request_lines[-1]
         waits = [
             (after.seconds - before.seconds, before, after)
             for before, after in zip(stages, stages[1:], strict=False)
@@ -194,11 +198,11 @@
         _, before, after = max(waits, key=lambda wait: wait[0])
         within = [
             line
-            for line in [*self.own, *self.around()]
+            for line in [*self.request_lines, *self.context_lines()]
             if before.seconds <= line.seconds <= after.seconds
         ]
         for event in _CAUSES:
             for line in within:
                 if line.event == event:
                     return line
-        return after if after in self.own else self.own[-1]
+        return after if after in self.request_lines else self.request_lines[-1]
--- a/tests/observability/test_timelines.py
+++ b/tests/observability/test_timelines.py
@@ -25,30 +25,30 @@
 
 def test_wait_over_midnight_is_the_longest():
     """A wait that ends on the next day must not count as a negative one."""
-    story = _story(
+    timeline = _story(
         _own("2026-03-11 23:59:57,000", "job accepted"),
         _own("2026-03-11 23:59:58,000", "job taken in"),
         _own("2026-03-11 23:59:58,100", "step waits", reason="room"),
         _own("2026-03-12 00:00:03,000", "step placed"),
         _own("2026-03-12 00:00:04,000", "job ended", status="completed"),
     )
-    assert story.deciding().event == "step waits"
+    assert timeline.deciding().event == "step waits"
 
 
 def test_wait_of_a_whole_day_is_longer_than_one_of_an_hour():
     """Days that pass between two lines must not fall out of the time between them."""
-    story = _story(
+    timeline = _story(
         _own("2026-03-11 10:00:00,000", "job accepted"),
         _own("2026-03-11 11:00:00,000", "job taken in"),
         _own("2026-03-12 11:00:00,000", "step placed"),
         _own("2026-03-12 11:00:01,000", "job ended", status="completed"),
     )
-    assert story.deciding().event == "step placed"
+    assert timeline.deciding().event == "step placed"
 
 
 def test_takeover_of_another_pool_is_no_cause():
     """A pool that the request isn't of must not be named for its wait."""
-    story = _story(
+    timeline = _story(
         _own("2026-03-11 10:00:00,000", "job accepted", pool="p1"),
         _line("2026-03-11 10:00:02,000", "pool taken", pool="p2", epoch=4),
         _line("2026-03-11 10:00:03,000", "store lost"),
@@ -56,8 +56,8 @@
         _own("2026-03-11 10:00:05,100", "step placed"),
         _own("2026-03-11 10:00:06,000", "job ended", status="completed"),
     )
-    assert story.deciding().event == "store lost"
-    assert [line.event for line in story.around()] == ["store lost"]
+    assert timeline.deciding().event == "store lost"
+    assert [line.event for line in timeline.context_lines()] == ["store lost"]
 
 
 _ACCEPTED = _own("2026-03-11 10:00:01,000", "job accepted", pool="p1")
@@ -80,8 +80,8 @@
 )
 
 
-def _vacant(story):
-    return [one.seconds for one in story.vacancies()]
+def _vacant(timeline):
+    return [one.seconds for one in timeline.vacancies()]
 
 
 def test_wait_without_an_owner_is_told():
@@ -91,9 +91,9 @@
 
 def test_request_that_nobody_took_in_is_explained():
     """A request without an owner must not be explained by its acceptance."""
-    story = _story(_WAITS, _ACCEPTED, _SUSPECTED)
-    assert story.deciding().event == "owner suspected"
-    assert _vacant(story) == [pytest.approx(11.0)]
+    timeline = _story(_WAITS, _ACCEPTED, _SUSPECTED)
+    assert timeline.deciding().event == "owner suspected"
+    assert _vacant(timeline) == [pytest.approx(11.0)]
 
 
 def test_owner_lost_before_it_placed_the_request_is_told():
@@ -101,9 +101,9 @@
     taken_in = _own("2026-03-11 10:00:01,100", "job taken in", pool="p1", epoch=2)
     waits = _WAITS.replace("10:00:00,500", "10:00:04,500")
     end = _line("2026-03-11 10:00:09,500", "host reached again")
-    story = _story(_ACCEPTED, taken_in, waits, end)
-    assert story.deciding().event == "candidate waits"
-    assert _vacant(story) == [pytest.approx(5.0)]
+    timeline = _story(_ACCEPTED, taken_in, waits, end)
+    assert timeline.deciding().event == "candidate waits"
+    assert _vacant(timeline) == [pytest.approx(5.0)]
 
 
 def test_vacancy_after_the_placement_is_not_told():
@@ -121,7 +121,7 @@
 
 
 def test_command_shows_the_time_without_an_owner(tmp_path):
-    """What the story knows of a vacancy must reach the engineer on call."""
+    """What the timeline knows of a vacancy must reach the engineer on call."""
     path = tmp_path / "host.log"
     path.write_text("\n".join(_TAKEN_OVER))
     arguments = ("logs", "explain", JOB, path)
