--- a/papayapick/checks/__init__.py
+++ b/papayapick/checks/__init__.py
@@ -9,13 +9,13 @@
     processes,
     settings,
 )
+from papayapick.checks.context import CheckContext
 from papayapick.checks.findings import Finding
 from papayapick.checks.queries import register, run_checks
-from papayapick.checks.surroundings import Surroundings
 
 __all__ = [
     "Finding",
-    "Surroundings",
+    "CheckContext",
     "bundles",
     "deployment",
     "keys",
--- a/papayapick/management/commands/request.py
+++ b/papayapick/management/commands/request.py
@@ -3,14 +3,14 @@
 import base64
 import json
 
-from papayapick.management.asking import OwnerAsking
 from papayapick.management.base import Command
 from papayapick.management.commands.pool import current_configuration, find_job
 from papayapick.management.exceptions import RequestIdInvalid
 from papayapick.management.exit_codes import EXIT_OK
+from papayapick.management.owner_client import OwnerClient
 from papayapick.management.peers import OperatorPeers
 from papayapick.management.pools import PoolsView
-from papayapick.management.reasons import job_reasons
+from papayapick.management.reasons import explain_job
 from papayapick.wire.messages import WorkCancel, WorkQuery
 
 __all__ = ["RequestCommand"]
@@ -55,7 +55,7 @@
             return OperatorPeers.from_config(settings, hosts.fetch(), self.operator())
 
         message = self._message(shard, request_id)
-        asking = OwnerAsking(table, connect, self.clock)
+        asking = OwnerClient(table, connect, self.clock)
         self._show(asking.ask(shard, message))
         return EXIT_OK
 
@@ -66,7 +66,7 @@
         is_reached = any(
             host.is_reached for host in view.hosts() if host.name == owner.owner
         )
-        reasons = job_reasons(job, owner, is_reached, view.workers(job.pool))
+        reasons = explain_job(job, owner, is_reached, view.workers(job.pool))
         told = [reason.as_mapping() for reason in reasons]
         values = {"request": identifier, "state": job.status, "reasons": told}
         text = f"{identifier}: {job.status}" + _as_lines(told)
