--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -184,7 +184,7 @@
         if self.sequence >= head.sequence:
             self._confirmed_pauses = pauses
 
-    def hear(self, heard, fetch):
+    def handle_peer_head(self, heard, fetch):
         """Take a newer bundle from a peer, and its word that there is no newer.
 
         Parameters
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -159,7 +159,7 @@
             self.clock,
             self.executor,
             self._count_bytes,
-            (self.heartbeat, self.watcher.hear, self.watcher.count_pauses),
+            (self.heartbeat, self.watcher.handle_peer_head, self.watcher.count_pauses),
         )
         self.peers.use_store_region(self._store_region)
         self._head_gate = LookGate(self.clock, self.hears_store)
@@ -199,7 +199,7 @@
             raise BundleUnknown(digest=heartbeat.bundle_digest)
 
         before = self.watcher.sequence
-        self.watcher.hear(head, fetch)
+        self.watcher.handle_peer_head(head, fetch)
         is_news = self.peers.note_head(heartbeat.head_version or 0)
         if is_news or self.watcher.sequence != before:
             # Once for each piece of news: a proposal is verified, and what was
--- a/tests/bundle/parts.py
+++ b/tests/bundle/parts.py
@@ -91,7 +91,9 @@
 
     def read(self, head, peer):
         """Read an answer that may have been asked for long ago."""
-        self.watcher.hear(head, lambda: peer.watcher.envelope_bytes(head.digest))
+        self.watcher.handle_peer_head(
+            head, lambda: peer.watcher.envelope_bytes(head.digest)
+        )
 
 
 def freeze(cell):
--- a/tests/bundle/test_watching.py
+++ b/tests/bundle/test_watching.py
@@ -94,7 +94,7 @@
         second.watcher.refresh()
         return first.watcher.envelope_bytes(head.digest)
 
-    second.watcher.hear(head, fetch)
+    second.watcher.handle_peer_head(head, fetch)
     assert (second.watcher.sequence, second.label) == (3, "three")
 
 
@@ -105,7 +105,7 @@
     bad = cell.envelope("bad", signers=("ana",))
     head = first.head(second)
     head.sequence, head.digest = 9, bad.bundle.digest
-    second.watcher.hear(head, bad.to_bytes)
+    second.watcher.handle_peer_head(head, bad.to_bytes)
     assert (second.watcher.sequence, second.label) == (1, "one")
     with pytest.raises(SignaturesMissing):
         cell.keyring.verify(bad)
