--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -134,7 +134,7 @@
         return self._head_version
 
     @property
-    def owes_word(self):
+    def needs_acknowledgement(self):
         """Return whether the table was not told yet of the bundle in force."""
         return bool(self.sequence) and self._told != (
             self.sequence,
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -216,7 +216,7 @@
     def _head_has_changed(self):
         watcher = self.watcher
         is_behind = self.peers.newest_head > watcher.head_version
-        return is_behind or watcher.owes_word or not watcher.is_confirmed
+        return is_behind or watcher.needs_acknowledgement or not watcher.is_confirmed
 
     def _look_at_head(self):
         try:
