--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -162,9 +162,9 @@
             (self.heartbeat, self.watcher.handle_peer_head, self.watcher.count_pauses),
         )
         self.peers.use_store_region(self._store_region)
-        self._head_gate = LookGate(self.clock, self.hears_store)
+        self._head_gate = LookGate(self.clock, self.has_store_contact)
 
-    def hears_store(self):
+    def has_store_contact(self):
         """Return whether the store is far and a live placer near it is known."""
         return self.peers.hears(self._store_region())
 
--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -58,7 +58,7 @@
         self._on_lost = on_lost
         self._shards = {}
         self._claimed = {}
-        self._gate = LookGate(process.clock, lambda: process.hears_store())
+        self._gate = LookGate(process.clock, lambda: process.has_store_contact())
         self._takeovers = set()
         self._lock = threading.Lock()
 
