--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -13,7 +13,7 @@
 from demo.cells import Cell
 from papayapick.bundle import Bundle, Envelope, sign
 from papayapick.bundle.commands import accept, propose
-from papayapick.bundle.queries import read_seen
+from papayapick.bundle.queries import read_acknowledgements
 from papayapick.clients import HostList, HttpPool, ObjectStore, Table
 from papayapick.membership.commands import announce_head
 from papayapick.wire import CellKeys
@@ -61,7 +61,7 @@
         names = set(self.cell.daemons)
 
         def verified():
-            seen = read_seen(self.table)
+            seen = read_acknowledgements(self.table)
             return {
                 name
                 for name, found in seen.items()
--- a/papayapick/bundle/queries.py
+++ b/papayapick/bundle/queries.py
@@ -15,8 +15,8 @@
     "fetch_envelope",
     "object_name",
     "read_accepted",
+    "read_acknowledgements",
     "read_head",
-    "read_seen",
     "stored_bundle",
     "verified_envelope",
 ]
@@ -87,7 +87,7 @@
     return envelope
 
 
-def read_seen(table):
+def read_acknowledgements(table):
     """Return what each process has said of bundles.
 
     Returns
--- a/papayapick/management/commands/bundle.py
+++ b/papayapick/management/commands/bundle.py
@@ -14,7 +14,7 @@
 )
 from papayapick.bundle.commands import accept, propose, withdraw
 from papayapick.bundle.heads import IN_FORCE
-from papayapick.bundle.queries import fetch_envelope, read_head, read_seen
+from papayapick.bundle.queries import fetch_envelope, read_acknowledgements, read_head
 from papayapick.clients import TableUnavailable
 from papayapick.management.base import Command, read_file, write_file
 from papayapick.management.exceptions import (
@@ -233,7 +233,7 @@
             operator=head.operator,
             proposal=head.proposal.as_mapping() if head.proposal else None,
         )
-        seen = read_seen(table)
+        seen = read_acknowledgements(table)
         for name in _process_names(hosts.fetch()):
             found = seen.get(name, {"sequence": 0, "state": "nothing"})
             self.output.write(
@@ -265,7 +265,7 @@
     # An outage while the words come in says nothing about the roll: what is
     # accepted stays accepted, and nobody has been heard from.
     try:
-        return read_seen(table)
+        return read_acknowledgements(table)
     except TableUnavailable:
         return {}
 
--- a/tests/bundle/test_watching.py
+++ b/tests/bundle/test_watching.py
@@ -4,7 +4,7 @@
 from papayapick.bundle.commands import accept
 from papayapick.bundle.exceptions import BundleUnconfirmed
 from papayapick.bundle.heads import IN_FORCE, VERIFIED
-from papayapick.bundle.queries import read_seen
+from papayapick.bundle.queries import read_acknowledgements
 from tests.bundle.parts import Cell, freeze, tick
 
 
@@ -30,12 +30,12 @@
 def test_a_process_acknowledges_what_it_verified_and_what_is_in_force(cell):
     proposal = cell.propose(cell.envelope("one"))
     (process,) = running(cell, "gateway-1")
-    assert read_seen(cell.table)["gateway-1"]["state"] == VERIFIED
+    assert read_acknowledgements(cell.table)["gateway-1"]["state"] == VERIFIED
     with pytest.raises(BundleMissing):
         assert process.label
     accept(cell.table, proposal)
     process.watcher.refresh()
-    assert read_seen(cell.table)["gateway-1"]["state"] == IN_FORCE
+    assert read_acknowledgements(cell.table)["gateway-1"]["state"] == IN_FORCE
 
 
 def test_a_bundle_spreads_through_peers_while_the_table_is_down(cell):
