--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -134,7 +134,7 @@
         return self._head_version
 
     @property
-    def owes_word(self):
+    def needs_acknowledgement(self):
         """Return whether the table was not told yet of the bundle in force."""
         return bool(self.sequence) and self._told != (
             self.sequence,
@@ -184,7 +184,7 @@
         if self.sequence >= head.sequence:
             self._confirmed_pauses = pauses
 
-    def hear(self, heard, fetch):
+    def handle_peer_head(self, heard, fetch):
         """Take a newer bundle from a peer, and its word that there is no newer.
 
         Parameters
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -159,12 +159,12 @@
             self.clock,
             self.executor,
             self._count_bytes,
-            (self.heartbeat, self.watcher.hear, self.watcher.count_pauses),
+            (self.heartbeat, self.watcher.handle_peer_head, self.watcher.count_pauses),
         )
         self.peers.use_store_region(self._store_region)
-        self._head_gate = PollGate(self.clock, self.hears_store)
+        self._head_gate = PollGate(self.clock, self.has_store_contact)
 
-    def hears_store(self):
+    def has_store_contact(self):
         """Return whether the store is far and a live placer near it is known."""
         return self.peers.has_live_peer_in(self._store_region())
 
@@ -199,7 +199,7 @@
             raise BundleUnknown(digest=heartbeat.bundle_digest)
 
         before = self.watcher.sequence
-        self.watcher.hear(head, fetch)
+        self.watcher.handle_peer_head(head, fetch)
         is_news = self.peers.note_head(heartbeat.head_version or 0)
         if is_news or self.watcher.sequence != before:
             # Once for each piece of news: a proposal is verified, and what was
@@ -216,7 +216,7 @@
     def _head_has_changed(self):
         watcher = self.watcher
         is_behind = self.peers.newest_head > watcher.head_version
-        return is_behind or watcher.owes_word or not watcher.is_confirmed
+        return is_behind or watcher.needs_acknowledgement or not watcher.is_confirmed
 
     def _look_at_head(self):
         try:
--- a/tests/bundle/test_watching.py
+++ b/tests/bundle/test_watching.py
@@ -4,7 +4,7 @@
 from papayapick.bundle.commands import accept
 from papayapick.bundle.exceptions import BundleUnconfirmed
 from papayapick.bundle.heads import IN_FORCE, VERIFIED
-from papayapick.bundle.queries import read_seen
+from papayapick.bundle.queries import read_acknowledgements
 from tests.bundle.parts import Cell, freeze, tick
 
 
@@ -30,12 +30,12 @@
 def test_a_process_acknowledges_what_it_verified_and_what_is_in_force(cell):
     proposal = cell.propose(cell.envelope("one"))
     (process,) = running(cell, "gateway-1")
-    assert read_seen(cell.table)["gateway-1"]["state"] == VERIFIED
+    assert read_acknowledgements(cell.table)["gateway-1"]["state"] == VERIFIED
     with pytest.raises(BundleMissing):
         assert process.label
     accept(cell.table, proposal)
     process.watcher.refresh()
-    assert read_seen(cell.table)["gateway-1"]["state"] == IN_FORCE
+    assert read_acknowledgements(cell.table)["gateway-1"]["state"] == IN_FORCE
 
 
 def test_a_bundle_spreads_through_peers_while_the_table_is_down(cell):
@@ -94,7 +94,7 @@
         second.watcher.refresh()
         return first.watcher.envelope_bytes(head.digest)
 
-    second.watcher.hear(head, fetch)
+    second.watcher.handle_peer_head(head, fetch)
     assert (second.watcher.sequence, second.label) == (3, "three")
 
 
@@ -105,7 +105,7 @@
     bad = cell.envelope("bad", signers=("ana",))
     head = first.head(second)
     head.sequence, head.digest = 9, bad.bundle.digest
-    second.watcher.hear(head, bad.to_bytes)
+    second.watcher.handle_peer_head(head, bad.to_bytes)
     assert (second.watcher.sequence, second.label) == (1, "one")
     with pytest.raises(SignaturesMissing):
         cell.keyring.verify(bad)
