--- a/papayapick/jobs/documents.py
+++ b/papayapick/jobs/documents.py
@@ -33,7 +33,7 @@
 
 
 class Step:
-    """Describe one step and the tasks of it, which are identical.
+    """Describe one step and its tasks, which are identical.
 
     Parameters
     ----------
--- a/papayapick/jobs/held_tasks.py
+++ b/papayapick/jobs/held_tasks.py
@@ -15,7 +15,7 @@
     outcomes : OutcomeHandler
     """
 
-    __slots__ = ("_registry", "_outcomes", "_must_hold", "_jobs", "_tasks")
+    __slots__ = ("_jobs", "_must_hold", "_outcomes", "_registry", "_tasks")
 
     def __init__(self, registry, outcomes):
         self._registry = registry
--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -28,10 +28,10 @@
     """
 
     __slots__ = (
-        "_outcomes",
         "_held",
         "_jobs",
         "_live",
+        "_outcomes",
         "_queued_steps",
         "_schedule",
         "changed",
--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -21,8 +21,8 @@
         "capacity",
         "free",
         "held",
-        "is_quarantined",
         "is_open",
+        "is_quarantined",
         "name",
         "reservations",
         "shown",
@@ -60,10 +60,10 @@
     __slots__ = (
         "_accelerator_index",
         "_hosts",
-        "_reserve",
         "_lock",
         "_processor_index",
         "_reservations",
+        "_reserve",
         "_total_shown",
         "_version",
     )
--- a/papayapick/ledger/rooms.py
+++ b/papayapick/ledger/rooms.py
@@ -110,7 +110,7 @@
     ('worker-2', 'worker-1')
     """
 
-    __slots__ = ("_hosts", "_groups")
+    __slots__ = ("_groups", "_hosts")
 
     def __init__(self):
         self._groups = SortedDict()
--- a/papayapick/limits/pauses.py
+++ b/papayapick/limits/pauses.py
@@ -11,14 +11,15 @@
     A process that was suspended and resumed still holds its shards, grants and bundle,
     which may have become invalid meanwhile. Code that depends on one of these compares
     ``count()`` with the count at its last confirmation, and confirms it again before it
-    makes a decision. The gap is seen by the periodic call of ``count()`` or by that of
-    the decision, whichever runs first after the pause, so no decision is missed.
+    makes a decision. Either the periodic call of ``count()`` or that of the decision
+    sees the gap, whichever runs first after the pause, so no decision after a pause
+    relies on an earlier confirmation.
 
     Parameters
     ----------
     clock : Clock
     pause_seconds : float
-        Shortest gap between two calls of ``count()`` that is a pause.
+        A longer gap between two calls of ``count()`` counts as a pause.
 
     Examples
     --------
@@ -30,7 +31,7 @@
     1
     """
 
-    __slots__ = ("_clock", "_count", "_lock", "_pause_seconds", "_counted_at")
+    __slots__ = ("_clock", "_count", "_counted_at", "_lock", "_pause_seconds")
 
     def __init__(self, clock, pause_seconds):
         self._clock = clock
--- a/papayapick/routing/loads.py
+++ b/papayapick/routing/loads.py
@@ -55,7 +55,7 @@
     clock : Clock
     """
 
-    __slots__ = ("_clock", "_lock", "_changes", "_unreachable_until")
+    __slots__ = ("_changes", "_clock", "_lock", "_unreachable_until")
 
     def __init__(self, clock):
         self._clock = clock
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -32,9 +32,9 @@
     """
     clock = ManualClock()
     gateways = [CallerLimits(clock, lambda: 3) for _ in range(3)]
-    for found in gateways:
-        found.use_bundle(BUNDLE)
-    total = sum(admitted(found, clock, 10, step=0.001) for found in gateways)
+    for limits in gateways:
+        limits.use_bundle(BUNDLE)
+    total = sum(admitted(limits, clock, 10, step=0.001) for limits in gateways)
     assert 290 <= total <= 310
 
 
