--- a/papayapick/entry/beats.py
+++ b/papayapick/entry/beats.py
@@ -40,7 +40,7 @@
 
     def announce(self, owner):
         """Start to send the beats and all job states of a pool just taken over."""
-        self._host.job_states.note_statuses(owner.news.all_states())
+        self._host.job_states.note_statuses(owner.status_feed.all_states())
         self.start_missing_senders()
 
     def start_missing_senders(self):
@@ -81,7 +81,7 @@
     def broadcast(self, owner):
         """Cache an owner's changed job states and send them to the other hosts."""
         self._note_backlogs(owner)
-        states = owner.news.take_changes()
+        states = owner.status_feed.take_changes()
         if not states:
             return
         self._host.job_states.note_statuses(states)
@@ -129,7 +129,7 @@
         self._host = host
         self._owner = owner
         self._peer = peer
-        self._pending_states = owner.news.all_states()
+        self._pending_states = owner.status_feed.all_states()
         self._lock = threading.Lock()
         self._wakeup = threading.Event()
         self._unanswered_since = None
@@ -187,7 +187,7 @@
                 )
                 for queue, backlog in backlogs.items()
             ],
-            gives_way=self._owner.standing.gives_way(),
+            gives_way=self._owner.ownership_status.gives_way(),
             may_lack_records=may_lack_records,
             has_read_state=self._owner.has_read_state,
             known_at_milliseconds=self._to_peer_clock(known_at),
@@ -198,7 +198,7 @@
         except WireError as error:
             self._note_no_answer(error)
             if isinstance(error, PeerNotListening):
-                self._owner.recording.note_gone(self._peer.name)
+                self._owner.recording.note_host_exit(self._peer.name)
             if not isinstance(error, OSError):
                 self._peer.client.close()
             with self._lock:
@@ -209,8 +209,8 @@
         self._peer.answered_at = self._host.clock.monotonic()
         self._peer.store_age = answer.store_age_milliseconds / 1000
         self._host.advice.note_peer_answer()
-        self._owner.recording.note_told(self._peer.name, may_lack_records)
-        self._owner.note_peer(self._peer, answer.epoch, sent_at)
+        self._owner.recording.note_heartbeat_answer(self._peer.name, may_lack_records)
+        self._owner.note_peer_answer(self._peer, answer.epoch, sent_at)
         return True
 
     def _to_peer_clock(self, moment):
@@ -259,4 +259,4 @@
 def _read_backlogs(owner):
     """Return the backlogs of an owner's queues and the time as of which they hold."""
     with owner.lock:
-        return owner.news.backlogs(), owner.news.known_at
+        return owner.status_feed.backlogs(), owner.status_feed.known_at
--- /dev/null
+++ b/papayapick/pool/reconciliation.py
@@ -0,0 +1,143 @@
+"""Reconciliation after a takeover: which tasks may still run, and on which worker."""
+
+from papayapick.pool.events import POOL_SETTLED
+from papayapick.pool.links import LEASE_SECONDS
+from papayapick.pool.metrics import TAKEOVER_SECONDS
+from papayapick.pool.ownership_status import CONFIRMATION_VALID_SECONDS
+
+__all__ = ["PREDECESSOR_LEASE_SECONDS", "Reconciliation"]
+
+# A worker that has not reported to a new owner may run what the previous owner started
+# there, until the longest lease that the previous owner may have granted has ended.
+PREDECESSOR_LEASE_SECONDS = CONFIRMATION_VALID_SECONDS + LEASE_SECONDS / 0.98
+# The runs that were found on the workers are recorded by this time after the last
+# worker reported.
+_RECORDED_SECONDS = 1.0
+
+
+class Reconciliation:
+    """Hold tasks that may already run on a worker that has not reported yet.
+
+    Such tasks are not placed until the reports of the workers, or the end of all
+    earlier leases, show whether they run; placed at once, they could run twice.
+
+    Parameters
+    ----------
+    owner : PoolOwner
+    is_journal_exact : bool
+        Whether every start ordered by earlier owners is known to be recorded.
+    """
+
+    __slots__ = (
+        "_completed_at",
+        "_gone_workers",
+        "_is_complete",
+        "_is_journal_exact",
+        "_owner",
+    )
+
+    def __init__(self, owner, is_journal_exact):
+        self._owner = owner
+        self._is_journal_exact = is_journal_exact
+        self._is_complete = False
+        self._completed_at = None
+        # Workers that have crashed or left, according to the list of machines.
+        self._gone_workers = set()
+
+    @property
+    def is_journal_exact(self):
+        """Return whether every start of earlier owners is known to be recorded."""
+        return self._is_journal_exact
+
+    @property
+    def is_complete(self):
+        """Return whether it is known where all tasks of earlier owners run."""
+        return self._is_complete
+
+    @property
+    def knows_starts(self):
+        """Return whether it is known for each earlier job if it has begun."""
+        return self._is_journal_exact or self._is_complete
+
+    def hold_tasks(self):
+        """Hold all tasks that may already run.
+
+        An exact journal names the worker of each start before the start is sent.
+        Without one, any task may run on any worker that has not reported.
+        """
+        self._owner.book.hold_tasks(
+            lambda task: bool(task.place) or not self._is_journal_exact
+        )
+
+    def waits_for(self, worker):
+        """Return whether tasks are held because a worker has not reported."""
+        return not self._is_complete and worker not in self._gone_workers
+
+    def note_worker_gone(self, worker, now):
+        """Stop holding tasks because of a worker that has crashed or left.
+
+        If it were treated as unreachable, all tasks of earlier owners would wait for
+        the longest lease that it may have, although other workers are free.
+        """
+        self._gone_workers.add(worker)
+        self.release_safe_tasks(now)
+
+    def release_safe_tasks(self, now):
+        """Release the held tasks that can't run on any worker that is still silent.
+
+        Completes the reconciliation once no task is held and no worker is silent, or
+        once all leases of earlier owners have ended.
+        """
+        if self._is_complete:
+            return
+        silent = sorted(
+            link.worker
+            for link in self._owner.links_by_worker.values()
+            if not (link.has_reported or link.worker in self._gone_workers)
+        )
+        is_over = now > self._owner.taken_at + PREDECESSOR_LEASE_SECONDS
+        self._owner.book.release_tasks(
+            lambda task: is_over or self._is_safe_to_place(task, bool(silent)), now
+        )
+        if is_over or not (silent or self._owner.book.has_held_tasks):
+            self._owner.book.release_all_tasks(now)
+            self._is_complete = True
+            self._completed_at = now
+            TAKEOVER_SECONDS.observe(now - self._owner.taken_at)
+            POOL_SETTLED.write(
+                pool=self._owner.pool,
+                epoch=self._owner.row.epoch,
+                seconds=round(now - self._owner.taken_at, 3),
+                silent=silent,
+            )
+
+    def _is_safe_to_place(self, task, has_silent):
+        """Return whether a held task can't run on a worker that has not reported.
+
+        A draining worker may have left the platform's list and still run its tasks.
+        They remain held even if all listed workers have reported.
+        """
+        if task.place:
+            link = self._owner.links_by_worker.get(task.place)
+            is_known = link is not None and link.has_reported
+            if not (is_known or task.place in self._gone_workers):
+                return False
+            if self._is_journal_exact:
+                return True
+        # The last start of the task may have been sent to any worker without a record,
+        # even if an earlier start is recorded.
+        return not has_silent
+
+    def may_lack_records(self):
+        """Return whether starts may be missing from the records a successor reads.
+
+        An owner that took over without an exact journal knows the running tasks only
+        once all workers have reported, and then records what it found. An owner with
+        an exact journal lacks no records, even while a worker is silent: otherwise one
+        dead worker would make its successor hold all tasks, and the next one again.
+        """
+        if self._is_journal_exact:
+            return False
+        if self._completed_at is None:
+            return True
+        return self._owner.now() - self._completed_at < _RECORDED_SECONDS
--- a/tests/entry/test_advice_balancing.py
+++ b/tests/entry/test_advice_balancing.py
@@ -19,14 +19,14 @@
     begin = host.clock.monotonic()
     while not answer.done():
         host.clock.advance(0.01)
-        host.advise()
+        host.answer_advice()
     return host.clock.monotonic() - begin
 
 
 def test_urgent_step_does_not_wait_for_long_queries_of_non_urgent_ones():
     """Guards against hosts that are all busy with long queries at a takeover."""
     host = AdvisedHost(peers=7, queue_of=None)
-    host.hear_peers()
+    host.note_peer_answers()
     for number in range(30):
         _ask(host, number, LONG_SECONDS, delay=0.5)
     took = [_seconds_until(host, _ask(host, 100 + n, SHORT_SECONDS)) for n in range(10)]
@@ -38,7 +38,7 @@
     host = AdvisedHost(peers=7, queue_of=None)
     long = _ask(host, 1, LONG_SECONDS)
     assert _seconds_until(host, _ask(host, 2, SHORT_SECONDS)) < 0.1
-    host.hear_peers()
+    host.note_peer_answers()
     assert _seconds_until(host, long) <= LONG_SECONDS + 0.02
 
 
@@ -69,7 +69,7 @@
 def test_query_is_not_blocked_while_another_one_is_being_sent():
     """Guards against a query that waits for a task connecting to a dead host."""
     host = AdvisedHost(peers=3, queue_of=None)
-    host.hear_peers()
+    host.note_peer_answers()
     asked = []
     through, own = host.ask_advice, host.advice._own_client.ask
 
@@ -80,7 +80,7 @@
     def ask_slowly(*query):
         # The calls of the other hosts end while this one is still being sent.
         host.clock.advance(LONG_SECONDS)
-        host.advise()
+        host.answer_advice()
         return own(*query)
 
     host.ask_advice, host.advice._own_client.ask = ask_through, ask_slowly
--- a/tests/pool/advisers.py
+++ b/tests/pool/advisers.py
@@ -1,4 +1,4 @@
-"""Stand for the hosts that ask for advice, each of them one call at a time."""
+"""Fakes of the hosts that request advice, each of them one call at a time."""
 
 from concurrent.futures import Future
 from types import SimpleNamespace
@@ -10,8 +10,11 @@
 HEARD_SECONDS = 0.8
 
 
-class SerialAdviser:
-    """Answer a host's calls in turn; every worker may run every step."""
+class FakeAdviceClient:
+    """Fake of a host's advice client that answers calls one after the other.
+
+    Every worker may run every step.
+    """
 
     def __init__(self, clock):
         self._clock = clock
@@ -26,21 +29,21 @@
         return answer
 
     def work(self):
-        """Answer the calls whose time is over."""
+        """Answer the calls whose expected duration has passed."""
         now = self._clock.monotonic()
-        over = [call for call in self._calls if call[0] <= now]
+        due = [call for call in self._calls if call[0] <= now]
         self._calls = [call for call in self._calls if call[0] > now]
-        for _, workers, answer in over:
+        for _, workers, answer in due:
             answer.set_result(dict.fromkeys(workers, "t"))
 
 
 class AdvisedHost(Host):
-    """Stand for the process of an owner among other hosts.
+    """Fake of an owner's process in a cell with other hosts.
 
     Parameters
     ----------
     peers : int
-        Other hosts, none of which has been heard yet.
+        Number of other hosts, none of which has answered a heartbeat yet.
     queue_of : callable
     """
 
@@ -54,14 +57,14 @@
             map=lambda step, items: [step(item) for item in items],
         )
         self._all = [_peer(f"p{number}") for number in range(peers)]
-        self._advisers = {peer.name: SerialAdviser(self.clock) for peer in self._all}
+        self._clients = {peer.name: FakeAdviceClient(self.clock) for peer in self._all}
         self.advice = AdviceDispatcher(self, None)
-        self.advice._own_client = self._own = SerialAdviser(self.clock)
+        self.advice._own_client = self._own_client = FakeAdviceClient(self.clock)
 
     def ask_advice(self, peer, key, workers, expected):
         answer = Future()
-        asked = self._advisers[peer.name].ask(str(key), workers, expected)
-        asked.add_done_callback(lambda done: answer.set_result(_reply(done.result())))
+        reply = self._clients[peer.name].ask(str(key), workers, expected)
+        reply.add_done_callback(lambda done: answer.set_result(_reply(done.result())))
         return answer
 
     def all(self):
@@ -70,17 +73,17 @@
     def owner_names(self):
         return {self.settings.host_name}
 
-    def hear_peers(self):
-        """Let the other hosts have answered a beat just now."""
+    def note_peer_answers(self):
+        """Count all other hosts as having answered a heartbeat just now."""
         self.live_peers = self._all
         for peer in self._all:
             peer.answered_at = self.clock.monotonic()
         self.advice.note_peer_answer()
 
-    def advise(self):
-        """Answer what is due."""
-        for adviser in (self._own, *self._advisers.values()):
-            adviser.work()
+    def answer_advice(self):
+        """Answer the calls of all hosts that are due."""
+        for client in (self._own_client, *self._clients.values()):
+            client.work()
 
 
 def _peer(name):
--- a/tests/pool/test_liveness.py
+++ b/tests/pool/test_liveness.py
@@ -43,7 +43,7 @@
     (worker,) = {run.worker for run in runs(load)}
     link = load.owner.links_by_worker[worker]
     link.failed_since = load.now
-    load.owner.lists.note_silence(link)
+    load.owner.report_handler.note_silence(link)
     load.silent = worker
     (load.other,) = set(load.workers) - {worker}
     return load
@@ -113,7 +113,7 @@
     report(owner, "w1")
     link = owner.links_by_worker["w2"]
     link.failed_since = host.clock.monotonic()
-    owner.lists.note_silence(link)
+    owner.report_handler.note_silence(link)
     return owner
 
 
@@ -126,7 +126,7 @@
     owner = _taken_over(recorded_at, is_journal_exact)
     LivenessCheck(owner, Machines("w1", "")).check_once()
     assert [run.worker for run in place(owner)] == ["w1"]
-    assert owner.settling.is_settled
+    assert owner.reconciliation.is_complete
 
 
 def test_new_owner_waits_for_a_partitioned_worker():
@@ -134,7 +134,7 @@
     owner = _taken_over("w2", is_journal_exact=False)
     LivenessCheck(owner, Machines("w1", "w2")).check_once()
     assert place(owner) == []
-    assert not owner.settling.is_settled
+    assert not owner.reconciliation.is_complete
 
 
 def test_new_owner_stops_reading_machines_once_all_workers_are_known():
--- a/tests/pool/test_usefulness.py
+++ b/tests/pool/test_usefulness.py
@@ -16,7 +16,7 @@
     POLICY,
     QUEUE,
     WORKERS,
-    hand_in,
+    add_job,
     is_placed,
     run_until,
 )
@@ -36,10 +36,12 @@
     assert len(place(owner)) == 2
     (step,) = owner.book.waiting_steps()
     now = host.clock.monotonic()
-    owner.advising._book._ask = lambda key, workers, expected: None
-    owner.advising._book.want(step.key, POLICY, ["w1", "w2"], now)
-    owner.advising._book.note_answer(step.key, {"w1": "t", "w2": "t"}, POLICY, now)
-    assert not owner.advising.is_useful(step)
+    owner.advice_manager._cache._ask = lambda key, workers, expected: None
+    owner.advice_manager._cache.request(step.key, POLICY, ["w1", "w2"], now)
+    owner.advice_manager._cache.note_answer(
+        step.key, {"w1": "t", "w2": "t"}, POLICY, now
+    )
+    assert not owner.advice_manager.is_useful(step)
 
 
 def test_lasting_task_is_placed_beside_urgent_steps_that_fit_nowhere():
@@ -59,7 +61,7 @@
     quick = AdvicePolicy(0.2, 0.01, 2.0)
     urgent = Queue("u", "h", "/u/", "pool", 0, 4, 2.2, 3.0, 3.0, False, quick)
     for number in range(20):
-        hand_in(host, owner, number, Step(4, Amounts(3000, 10), 5.0), urgent)
+        add_job(host, owner, number, Step(4, Amounts(3000, 10), 5.0), urgent)
         run_until(host, owner, lambda: False, 0.15)
-    hand_in(host, owner, 99, Step(1, Amounts(1000, 10), is_lasting=True), QUEUE)
+    add_job(host, owner, 99, Step(1, Amounts(1000, 10), is_lasting=True), QUEUE)
     assert run_until(host, owner, is_placed(owner, 99), 10.0) < AWAY_SECONDS
