--- a/papayapick/jobs/registry.py
+++ b/papayapick/jobs/registry.py
@@ -24,7 +24,7 @@
     status_changes : set of str
         Identifiers of jobs whose status has changed since it was last published.
     to_stop : list of Run
-        Runs that are no longer needed. The caller stops them and clears the list.
+        Runs that are no longer needed. The caller takes them from here and stops them.
     """
 
     __slots__ = (
@@ -147,6 +147,7 @@
         index : int
         worker : str
         now : float
+            Monotonic seconds.
         attempt : int, optional
             Number of the start, shared by the members of a gang; by default the
             number after the task's last.
@@ -180,6 +181,7 @@
         report : RunReport
         worker : str
         now : float
+            Monotonic seconds.
 
         Returns
         -------
--- a/papayapick/jobs/runs.py
+++ b/papayapick/jobs/runs.py
@@ -83,8 +83,8 @@
         self.percent_at = placed_at
         # Monotonic seconds at which the percent was last seen to change.
         self.progressed_at = placed_at
-        # Whether the run resumed from a checkpoint or was adopted. Its percent was then
-        # not 0 when this owner first saw it.
+        # Whether the run resumed from a checkpoint or was adopted. Its percent may then
+        # have been above 0 when this owner first saw it.
         self.is_resumed = False
         # Value that the worker measured over the last half second, or None.
         self.measurement = None
@@ -136,16 +136,16 @@
         """Return whether the worker is known to have started the run."""
         return self.was_listed or self.phase == RunPhase.RUNNING
 
-    def ran_before(self, asked_at):
-        """Return whether the run was known to be active before a list was requested.
+    def ran_before(self, requested_at):
+        """Return whether the worker confirmed the run before a list was requested.
 
         Parameters
         ----------
-        asked_at : float
+        requested_at : float
             Monotonic seconds at which the list was requested.
         """
         known_at = self.percent_at if self.was_listed else self.start_confirmed_at
-        return known_at is not None and known_at < asked_at
+        return known_at is not None and known_at < requested_at
 
     @property
     def name(self):
