--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -32,7 +32,9 @@
         self.name = name
         self.capacity = capacity
         self.free = capacity
+        # Amounts hidden from choices by ``HostLedger.hold``.
         self.held = _ZERO
+        # Free amounts offered to choices; zero if the host is in no index.
         self.shown = _ZERO
         self.is_quarantined = False
         self.is_open = False
--- a/papayapick/routing/slots.py
+++ b/papayapick/routing/slots.py
@@ -16,9 +16,10 @@
 __all__ = ["Grant", "SlotClient"]
 
 OWN_ZONE, OWN_REGION, ACROSS_LINK = range(3)
+# Time for the placer's answer, in addition to the wait that was requested.
 _ANSWER_SECONDS = 0.25
-_TRIES_WITH_ROOM = 3
-_TRIES_TO_WAIT = 2
+_MAX_REQUESTS_WITHOUT_WAIT = 3
+_MAX_REQUESTS_WITH_WAIT = 2
 _UNUSED, _STALE = "unused", "stale"
 
 
@@ -141,9 +142,9 @@
         candidates = self._candidates(policy)
         if not candidates:
             raise NoRoute(service=policy.name)
-        grant, error = self._try_room(call, candidates)
+        grant, error = self._request_without_wait(call, candidates)
         if grant is None:
-            grant, error = self._try_to_wait(call, candidates, error)
+            grant, error = self._request_with_wait(call, candidates, error)
         if grant is None:
             raise error or NoPlacerAnswer(service=policy.name)
         return grant
@@ -175,10 +176,10 @@
         except WireError:
             return
 
-    def _try_room(self, call, candidates):
+    def _request_without_wait(self, call, candidates):
         """Request a slot without waiting from shards with room."""
         error = None
-        for _ in range(_TRIES_WITH_ROOM):
+        for _ in range(_MAX_REQUESTS_WITHOUT_WAIT):
             candidate = self._next_with_room(candidates)
             if candidate is None:
                 break
@@ -193,19 +194,19 @@
                 candidates.append(candidate)
         return None, error
 
-    def _try_to_wait(self, call, candidates, error):
+    def _request_with_wait(self, call, candidates, error):
         """Request a slot with waiting from one shard, or the next if it refuses."""
         candidates.sort(key=self._waiting_order)
-        tries = 0
+        requests = 0
         for candidate in candidates:
-            if tries == _TRIES_TO_WAIT:
+            if requests == _MAX_REQUESTS_WITH_WAIT:
                 break
             remaining_seconds = call.deadline - self._clock.monotonic()
             if remaining_seconds <= 0:
                 return None, error or DeadlineExceeded(service=call.policy.name)
             if not self._loads.may_try(candidate.peer):
                 continue
-            tries += 1
+            requests += 1
             grant, refusal = self._request_slot(call, candidate, remaining_seconds)
             if grant is not None:
                 return grant, None
