--- a/papayapick/ledger/hosts.py
+++ b/papayapick/ledger/hosts.py
@@ -21,8 +21,8 @@
         "capacity",
         "free",
         "held",
-        "is_quarantined",
         "is_open",
+        "is_quarantined",
         "name",
         "reservations",
         "shown",
@@ -32,7 +32,9 @@
         self.name = name
         self.capacity = capacity
         self.free = capacity
+        # Amounts hidden from choices by ``HostLedger.hold``.
         self.held = _ZERO
+        # Free amounts offered to choices; zero if the host is in no index.
         self.shown = _ZERO
         self.is_quarantined = False
         self.is_open = False
@@ -60,10 +62,10 @@
     __slots__ = (
         "_accelerator_index",
         "_hosts",
-        "_reserve",
         "_lock",
         "_processor_index",
         "_reservations",
+        "_reserve",
         "_total_shown",
         "_version",
     )
