--- a/papayapick/gateway/admission.py
+++ b/papayapick/gateway/admission.py
@@ -190,7 +190,9 @@
 def _name(body, field):
     name = body[field]
     if not isinstance(name, str) or not 0 < len(name) <= _NAME_LIMIT:
-        raise RequestInvalid(place=field, reason="must be 1 to 64 characters long")
+        raise RequestInvalid(
+            place=field, reason="must be a string of 1 to 64 characters"
+        )
     return name
 
 
--- a/papayapick/gateway/process.py
+++ b/papayapick/gateway/process.py
@@ -22,7 +22,7 @@
 _CALL_SECONDS = 30.0
 _HEADER_LIMIT_BYTES = 32 << 10
 _CONNECTION_LIMIT = 1000
-_IDLE_SECONDS = 30
+_CHANNEL_TIMEOUT_SECONDS = 30
 _IDLE_BEFORE_CLOSE_SECONDS = 0.2
 _POLL_SECONDS = 0.05
 
@@ -55,7 +55,7 @@
         )
         durable = DurableWork(process)
         self._application = Application(process, urgent, durable, self._limits)
-        self._server = self._listen(settings)
+        self._server = self._create_server(settings)
 
     @classmethod
     def from_config(cls, settings):
@@ -105,7 +105,7 @@
 
     def _live_gateways(self):
         entries = self._process.peers.entries
-        return sum(found.kind == GATEWAY_KIND and found.is_live for found in entries)
+        return sum(entry.kind == GATEWAY_KIND and entry.is_live for entry in entries)
 
     def _is_idle(self):
         # The channel buffers an answer that a slow caller has not read completely.
@@ -115,7 +115,7 @@
             for channel in channels
         )
 
-    def _listen(self, settings):
+    def _create_server(self, settings):
         logging.getLogger("waitress").setLevel(logging.ERROR)
         host, port = settings.listen_http
         dispatcher = BoundedDispatcher(settings.http_waiting, self._process.clock)
@@ -130,7 +130,7 @@
             threads=settings.http_threads,
             _dispatcher=dispatcher,
             connection_limit=_CONNECTION_LIMIT,
-            channel_timeout=_IDLE_SECONDS,
+            channel_timeout=_CHANNEL_TIMEOUT_SECONDS,
             max_request_header_size=_HEADER_LIMIT_BYTES,
             max_request_body_size=settings.body_limit_bytes + 1024,
             ident=None,
--- a/papayapick/journal/writer.py
+++ b/papayapick/journal/writer.py
@@ -71,7 +71,7 @@
         "_stop",
         "_table",
         "_wakeup",
-        "_writing",
+        "_write_lock",
     )
 
     def __init__(
@@ -102,7 +102,7 @@
         self._is_writing = False
         self._is_closed = False
         self._lock = threading.Lock()
-        self._writing = threading.Lock()
+        self._write_lock = threading.Lock()
         self._wakeup = threading.Event()
         self._stop = threading.Event()
 
@@ -213,7 +213,7 @@
         """Write queued records as one segment and determine whether it was written."""
         # A flush at shutdown runs concurrently with the journal's task: two segments
         # with the same number would conflict, which looks like a newer owner.
-        with self._writing:
+        with self._write_lock:
             with self._lock:
                 batch = self._entries[:_RECORDS_PER_SEGMENT]
                 del self._entries[: len(batch)]
--- a/papayapick/membership/peers.py
+++ b/papayapick/membership/peers.py
@@ -198,20 +198,20 @@
         -------
         dict of str to (Peer, ShardSummary)
         """
-        found = {}
+        owners = {}
         for peer in self.live():
             for summary in peer.last_heartbeat.shards or ():
-                best = found.get(summary.shard)
+                best = owners.get(summary.shard)
                 if best is None or best[1].epoch < summary.epoch:
-                    found[summary.shard] = (peer, summary)
-        return found
+                    owners[summary.shard] = (peer, summary)
+        return owners
 
     def owner_of(self, shard):
         """Return the Peer that serves a shard; raise ShardUnserved."""
-        found = self.shard_owners().get(shard)
-        if found is None:
+        owner = self.shard_owners().get(shard)
+        if owner is None:
             raise ShardUnserved(shard=shard)
-        return found[0]
+        return owner[0]
 
     def close(self):
         """Stop all tasks and close the connections."""
@@ -297,11 +297,11 @@
         """Send a heartbeat to a peer and process its answer; raise WireError."""
         seconds = self._settings.dead_after_seconds * RELAY_SILENCE_SHARE
         pauses = self._count_pauses()
-        question = self._own_heartbeat()
+        request = self._own_heartbeat()
         # The peer learns the shards from its own heartbeats to this process.
-        question.shards = None
-        question.known = self._summaries.known_version(peer)
-        answer = peer.client.ask(question, seconds)
+        request.shards = None
+        request.known = self._summaries.known_version(peer)
+        answer = peer.client.ask(request, seconds)
         if not isinstance(answer, Heartbeat):
             return
         now = self._clock.monotonic()
--- a/tests/membership/simulation.py
+++ b/tests/membership/simulation.py
@@ -81,9 +81,9 @@
             ],
         )
 
-    def answer(self, question, requester):
+    def answer(self, request, requester):
         answer = self.heartbeat()
-        self.peers.add_summary(answer, question.known or 0, requester.entry.region)
+        self.peers.add_summary(answer, request.known or 0, requester.entry.region)
         return answer
 
     def live(self):
@@ -96,16 +96,16 @@
     def __init__(self, simulation, requester, name):
         self.simulation, self.requester, self.name = simulation, requester, name
 
-    def ask(self, question, seconds):
-        simulation, peer = self.simulation, self.simulation.members[self.name]
+    def ask(self, request, seconds):
+        simulation, peer = self.simulation, self.simulation.processes[self.name]
         is_far = peer.entry.region != self.requester.entry.region
-        if peer.is_down or (is_far and simulation.is_link_cut):
+        if peer.is_down or (is_far and simulation.is_partitioned):
             raise PeerTimeout(address=self.name, seconds=seconds)
-        sent = encode(1, question)
+        sent = encode(1, request)
         received = encode(1, peer.answer(decode(sent)[1], self.requester))
         if is_far:
             simulation.link_bytes += len(sent) + len(received)
-            simulation.crossings.append((self.requester.name, self.name))
+            simulation.link_requests.append((self.requester.name, self.name))
         return decode(received)[1]
 
     def close(self):
@@ -117,13 +117,13 @@
 
     def __init__(self):
         self.clock = ManualClock(1000.0)
-        self.members = {}
-        self.is_link_cut = False
+        self.processes = {}
+        self.is_partitioned = False
         self.link_bytes = 0
-        self.crossings = []
+        self.link_requests = []
 
     @classmethod
-    def of(cls, north=3, south=6, gateways=1):
+    def with_regions(cls, north=3, south=6, gateways=1):
         """Return a simulation in which all listed processes know all placers."""
         simulation = cls()
         for region, count in ((NORTH, north), (SOUTH, south)):
@@ -138,30 +138,30 @@
         return simulation
 
     def add(self, name, kind, region, shards=()):
-        member = SimulatedProcess(self, name, kind, region, region, shards)
-        self.members[name] = member
-        return member
+        process = SimulatedProcess(self, name, kind, region, region, shards)
+        self.processes[name] = process
+        return process
 
     def list_all(self):
-        entries = [member.entry for member in self.members.values()]
-        for member in self.members.values():
-            member.host_list.entries = entries
-            member.peers.refresh()
+        entries = [process.entry for process in self.processes.values()]
+        for process in self.processes.values():
+            process.host_list.entries = entries
+            process.peers.refresh()
 
     def run(self, seconds):
         """Exchange the heartbeats of all running processes for a time."""
         for _ in range(round(seconds / HEARTBEAT)):
-            for member in self.members.values():
-                if not member.is_down:
-                    for peer in member.peers.peers():
-                        member.peers.exchange_if_due(peer)
+            for process in self.processes.values():
+                if not process.is_down:
+                    for peer in process.peers.peers():
+                        process.peers.exchange_if_due(peer)
             self.clock.advance(HEARTBEAT)
 
     def names(self, region):
         return sorted(
             name
-            for name, member in self.members.items()
-            if member.entry.region == region and member.entry.kind == "placer"
+            for name, process in self.processes.items()
+            if process.entry.region == region and process.entry.kind == "placer"
         )
 
     def all_placers(self):
--- a/tests/membership/test_announce.py
+++ b/tests/membership/test_announce.py
@@ -111,8 +111,8 @@
     """
     process = FakeProcess()
     for sequence, version in zip(sequences, versions, strict=True):
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             host="a", bundle_sequence=sequence, bundle_digest="d", head_version=version
         )
-        Process._hear_asker(process, beat)
+        Process._hear_asker(process, heartbeat)
     assert process.polls == polls
--- a/tests/membership/test_relays.py
+++ b/tests/membership/test_relays.py
@@ -8,20 +8,20 @@
 
 @pytest.fixture
 def simulation():
-    return Simulation.of()
+    return Simulation.with_regions()
 
 
 def relay(simulation, region):
-    return simulation.members[relay_of(region, simulation.names(region))]
+    return simulation.processes[relay_of(region, simulation.names(region))]
 
 
 def test_one_pair_of_placers_per_direction_uses_the_link(simulation):
     """Without relays each of the eleven processes would contact each far placer."""
-    simulation.crossings.clear()
+    simulation.link_requests.clear()
     simulation.run(10)
-    assert len(set(simulation.crossings)) == 2
-    for member in simulation.members.values():
-        assert member.live() == simulation.all_placers()
+    assert len(set(simulation.link_requests)) == 2
+    for process in simulation.processes.values():
+        assert process.live() == simulation.all_placers()
 
 
 def test_an_unchanged_summary_is_sent_as_its_version(simulation):
@@ -43,16 +43,16 @@
     others = [name for name in simulation.all_placers() if name != dead.name]
     for _ in range(40):
         simulation.run(0.5)
-        for member in simulation.members.values():
-            if not member.is_down:
-                assert set(others) <= set(member.live())
+        for process in simulation.processes.values():
+            if not process.is_down:
+                assert set(others) <= set(process.live())
 
 
 def test_a_dead_relay_of_the_other_region_is_skipped(simulation):
     """If the dead far relay were still contacted, its whole region would seem dead."""
-    dead = simulation.members[relay_of("", simulation.names(SOUTH))]
+    dead = simulation.processes[relay_of("", simulation.names(SOUTH))]
     dead.is_down = True
-    peers = simulation.members["gateway-north-tas-0"].peers
+    peers = simulation.processes["gateway-north-tas-0"].peers
     others = [
         peer for peer in peers.peers() if peers.is_far(peer) and peer.name != dead.name
     ]
@@ -65,38 +65,38 @@
     dead = "placer-north-tas-0"
     if relay(simulation, NORTH).name == dead:
         dead = "placer-north-tas-1"
-    simulation.members[dead].is_down = True
+    simulation.processes[dead].is_down = True
     simulation.run(DEAD_AFTER + 0.5)
     near = [name for name in simulation.names(NORTH) if name != dead]
-    assert all(dead not in simulation.members[name].live() for name in near)
+    assert all(dead not in simulation.processes[name].live() for name in near)
     simulation.run(FAR_DEAD_AFTER + 1)
-    assert dead not in simulation.members["gateway-south-tas-0"].live()
+    assert dead not in simulation.processes["gateway-south-tas-0"].live()
 
 
 def test_a_failed_region_is_detected_in_time_for_a_takeover(simulation):
     """A whole region fails; its shards stay unserved until the other one detects it."""
-    for member in simulation.members.values():
-        if member.entry.region == NORTH:
-            member.is_down = True
+    for process in simulation.processes.values():
+        if process.entry.region == NORTH:
+            process.is_down = True
     simulation.run(FAR_DEAD_AFTER + 0.5)
     for name in simulation.names(SOUTH):
-        assert simulation.members[name].live() == simulation.names(SOUTH)
+        assert simulation.processes[name].live() == simulation.names(SOUTH)
 
 
 def test_regions_reconnect_after_a_network_partition(simulation):
-    simulation.is_link_cut = True
+    simulation.is_partitioned = True
     simulation.run(60)
-    assert simulation.members["gateway-north-tas-0"].live() == simulation.names(NORTH)
-    simulation.is_link_cut = False
+    assert simulation.processes["gateway-north-tas-0"].live() == simulation.names(NORTH)
+    simulation.is_partitioned = False
     simulation.run(6)
-    for member in simulation.members.values():
-        assert member.live() == simulation.all_placers()
+    for process in simulation.processes.values():
+        assert process.live() == simulation.all_placers()
 
 
 def test_without_a_near_placer_each_process_contacts_far_placers():
     """A region with only gateways has no relay."""
-    simulation = Simulation.of(north=0, south=3, gateways=2)
-    assert simulation.members["gateway-north-tas-0"].live() == simulation.names(SOUTH)
+    simulation = Simulation.with_regions(north=0, south=3, gateways=2)
+    assert simulation.processes["gateway-north-tas-0"].live() == simulation.names(SOUTH)
 
 
 def test_a_relay_detects_a_changed_list_despite_its_own_summary(simulation):
@@ -104,15 +104,15 @@
     loopback, with its own old list tag. Applied to the far placers, that tag
     would hide the change, and the region would keep using the old list.
     """
-    for name in simulation.members:
-        if simulation.members[name].entry.region == SOUTH:
-            simulation.members[name].host_list.tag = "new"
+    for name in simulation.processes:
+        if simulation.processes[name].entry.region == SOUTH:
+            simulation.processes[name].host_list.tag = "new"
         else:
-            simulation.members[name].host_list.tag = "old"
-    relay_member = relay(simulation, NORTH)
+            simulation.processes[name].host_list.tag = "old"
+    north_relay = relay(simulation, NORTH)
     for _ in range(8):
         simulation.run(0.5)
-    assert relay_member.peers._list_has_changed()
+    assert north_relay.peers._list_has_changed()
 
 
 def test_a_relayed_summary_keeps_its_age(simulation):
@@ -125,8 +125,8 @@
     simulation.run(5)
     first.is_down = False
     simulation.run(5)
-    simulation.is_link_cut = True
+    simulation.is_partitioned = True
     for _ in range(20):
         simulation.run(0.5)
-    for member in simulation.members.values():
-        assert member.live() == simulation.names(member.entry.region)
+    for process in simulation.processes.values():
+        assert process.live() == simulation.names(process.entry.region)
--- a/tests/membership/test_wrong_lists.py
+++ b/tests/membership/test_wrong_lists.py
@@ -8,15 +8,15 @@
 
 @pytest.fixture
 def simulation():
-    return Simulation.of(north=2, south=2)
+    return Simulation.with_regions(north=2, south=2)
 
 
 def test_a_dead_placer_on_the_list_gets_no_work(simulation):
     """The list still names a placer whose host has died."""
-    dead = simulation.members["placer-south-tas-0"]
+    dead = simulation.processes["placer-south-tas-0"]
     dead.is_down = True
     simulation.run(DEAD_AFTER + 0.5)
-    gateway = simulation.members["gateway-south-tas-0"].peers
+    gateway = simulation.processes["gateway-south-tas-0"].peers
     with pytest.raises(ShardUnserved):
         gateway.owner_of("south-tas.0")
     assert not gateway.is_alive(dead.name)
@@ -26,7 +26,7 @@
     """The list drops a placer that works. If it were considered dead, its shards
     would move while callers use them.
     """
-    gateway = simulation.members["gateway-south-tas-0"]
+    gateway = simulation.processes["gateway-south-tas-0"]
     lost = "placer-south-tas-0"
     gateway.host_list.entries = [
         entry for entry in gateway.host_list.entries if entry.name != lost
@@ -38,11 +38,13 @@
 
 
 def test_an_unavailable_list_changes_nothing(simulation):
-    for member in simulation.members.values():
-        member.host_list.is_down = True
-        member.peers.refresh()
+    for process in simulation.processes.values():
+        process.host_list.is_down = True
+        process.peers.refresh()
     simulation.run(60)
-    assert simulation.members["gateway-south-tas-0"].live() == simulation.all_placers()
+    assert (
+        simulation.processes["gateway-south-tas-0"].live() == simulation.all_placers()
+    )
 
 
 def test_a_new_placer_is_known_once_the_outdated_list_names_it(simulation):
@@ -50,7 +52,7 @@
         "placer-south-tas-9", "placer", SOUTH, [("south-tas.9", 1)]
     )
     simulation.run(10)
-    gateway = simulation.members["gateway-south-tas-0"]
+    gateway = simulation.processes["gateway-south-tas-0"]
     assert newcomer.name not in gateway.live()
     simulation.list_all()
     simulation.run(1)
@@ -59,16 +61,16 @@
 
 def test_of_two_owners_of_a_shard_the_one_with_the_higher_epoch_is_used(simulation):
     """An owner resumes after a pause and still reports a shard that was taken over."""
-    simulation.members["placer-south-tas-1"].shards.append(("south-tas.0", 2))
+    simulation.processes["placer-south-tas-1"].shards.append(("south-tas.0", 2))
     simulation.run(2)
-    gateway = simulation.members["gateway-south-tas-0"].peers
+    gateway = simulation.processes["gateway-south-tas-0"].peers
     assert gateway.owner_of("south-tas.0").name == "placer-south-tas-1"
 
 
 def test_a_silent_placer_is_never_the_preferred_owner(simulation):
-    simulation.members["placer-south-tas-0"].is_down = True
+    simulation.processes["placer-south-tas-0"].is_down = True
     simulation.run(DEAD_AFTER + 0.5)
-    peers = simulation.members["placer-south-tas-1"].peers
+    peers = simulation.processes["placer-south-tas-1"].peers
     live = [peer.entry for peer in peers.live()]
     for number in range(32):
         owner = preferred_owner(f"{SOUTH}.{number}", live)
