--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -15,7 +15,7 @@
 )
 from papayapick.ownership.pools import OwnershipLost, PoolRow, claim_pool, read_pool
 from papayapick.pool.owner import PoolOwner
-from papayapick.pool.recording import TRUST_SECONDS
+from papayapick.pool.recording import RECORDS_TRUSTED_SECONDS
 from papayapick.pool.store_sync import check_readable
 
 __all__ = ["Candidacy"]
@@ -283,7 +283,7 @@
     def _trusts_records(self):
         """Return whether every start so far was recorded before it was ordered."""
         age = self._host.clock.monotonic() - self._records_reported_at
-        return not self._may_lack_records and age < TRUST_SECONDS
+        return not self._may_lack_records and age < RECORDS_TRUSTED_SECONDS
 
     def _start_owner(self, row):
         owner = PoolOwner(self._host, row, self._trusts_records())
@@ -299,7 +299,7 @@
             owner.start()
         except TableUnavailable as error:
             POOL_UNREAD.write(pool=self.pool, epoch=row.epoch, error=str(error))
-            owner.give_up()
+            owner.release()
             return
         self._host.broadcast(owner)
 
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -139,14 +139,14 @@
 
     def _hand_over(self, owner):
         """Act as owner until another host has taken the pool or time runs out."""
-        owner.leave()
+        owner.request_successor()
         # To all hosts at once: a host notified earlier would take the pool before the
         # largest host, which takes it without delay, is notified.
         self._beats.send_all_now()
         wait = self.settings.grace_seconds - _GRACE_SLACK_SECONDS - _RELEASE_SECONDS
         owner.pause(wait)
         if not owner.is_stopped:
-            owner.give_up()
+            owner.release()
 
     def is_ready(self):
         """Return whether this host can accept jobs; log each change."""
@@ -291,7 +291,7 @@
         self._note_store_answer(asked_at)
         for candidacy in list(self._candidacies.values()):
             if candidacy.is_owner:
-                candidacy.owner.standing.note_confirmed(asked_at)
+                candidacy.owner.ownership_status.note_confirmed(asked_at)
 
     def note_configuration(self, configuration):
         """Watch the pools of a new configuration and update the owners' queues."""
@@ -303,7 +303,7 @@
                 self.executor.submit(self._run_loop, pool, candidacy.run)
         for candidacy in list(self._candidacies.values()):
             if candidacy.is_owner:
-                candidacy.owner.renew_queues()
+                candidacy.owner.refresh_queues()
 
     def queue_of(self, document):
         """Return the queue of a job; see ``KnownQueues.queue_of``."""
@@ -329,7 +329,7 @@
             )
             return
         if row.version == owner.row.version:
-            owner.standing.note_confirmed(asked_at)
+            owner.ownership_status.note_confirmed(asked_at)
         else:
             self._candidacies[owner.pool].note_row(row)
 
--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -66,9 +66,9 @@
 
     def _mark_gone(self, link):
         if link.has_reported:
-            self._owner.lists.mark_started_runs_lost(link)
+            self._owner.report_handler.mark_started_runs_lost(link)
         else:
-            self._owner.settling.note_gone(link.worker, self._owner.now())
+            self._owner.reconciliation.note_worker_gone(link.worker, self._owner.now())
 
     def _silent_links(self):
         with self._owner.lock:
@@ -87,7 +87,7 @@
     def _may_have_runs(self, link):
         """Return whether runs may be active on a worker that doesn't answer."""
         if not link.has_reported:
-            return self._owner.settling.waits_for(link.worker)
+            return self._owner.reconciliation.waits_for(link.worker)
         runs = self._owner.rooms.get(link.worker).runs.values()
         return any(run.has_begun for run in runs)
 
--- a/papayapick/pool/store_sync.py
+++ b/papayapick/pool/store_sync.py
@@ -93,7 +93,7 @@
             for registration in self._owner.roster.restore(progress):
                 if registration.worker not in self._owner.links_by_worker:
                     self._add_link(registration, is_listed=False)
-            self._owner.settling.begin()
+            self._owner.reconciliation.hold_tasks()
         return version
 
     def _read_jobs(self):
@@ -171,7 +171,7 @@
             return
         if not job.is_final:
             self._log_job_taken(job)
-        self._owner.advising.want_first(job, now)
+        self._owner.advice_manager.request_for_job(job, now)
 
     def _log_job_taken(self, job):
         JOB_TAKEN.write(
@@ -209,14 +209,14 @@
             if link is not None:
                 link.is_listed = False
                 link.registration.is_leaving = True
-                self._owner.lists.update_availability(link)
+                self._owner.report_handler.update_availability(link)
             return
         if link is not None:
             link.is_listed = True
             link.registration.is_leaving = registration.is_leaving
-            self._owner.lists.update_availability(link)
+            self._owner.report_handler.update_availability(link)
             return
-        self._owner.roster.note(registration)
+        self._owner.roster.add(registration)
         self._add_link(registration, is_listed=True)
 
     def _add_link(self, registration, is_listed):
@@ -225,7 +225,7 @@
         worker = registration.worker
         host = self._owner.host
         client = WorkerClient(worker, registration.address, host.worker_pool)
-        epoch, listener = self._owner.row.epoch, self._owner.lists
+        epoch, listener = self._owner.row.epoch, self._owner.report_handler
         link = WorkerLink(registration, client, epoch, host.clock, listener)
         link.is_listed = is_listed
         self._owner.links_by_worker[worker] = link
@@ -237,6 +237,6 @@
         link.stop()
         del self._owner.links_by_worker[link.worker]
         self._owner.rooms.remove(link.worker)
-        self._owner.roster.forget(link.worker)
-        self._owner.laggards.forget(link.worker)
+        self._owner.roster.remove(link.worker)
+        self._owner.run_monitor.forget(link.worker)
         WORKER_GONE.write(worker=link.worker)
--- a/tests/pool/test_status_feed.py
+++ b/tests/pool/test_status_feed.py
@@ -29,11 +29,13 @@
     if is_store_unavailable:
         load.owner.recording.note_failure()
         assert load.owner.recording.is_announced
-    assert load.owner.news.all_states() == {job.identifier: JobStatus.RUNNING}
-    assert load.owner.news.take_changes() == {job.identifier: JobStatus.RUNNING}
+    assert load.owner.status_feed.all_states() == {job.identifier: JobStatus.RUNNING}
+    assert load.owner.status_feed.take_changes() == {job.identifier: JobStatus.RUNNING}
     job.durable_status = JobStatus.COMPLETED
     load.owner.book.news.add(job.identifier)
-    assert load.owner.news.take_changes() == {job.identifier: JobStatus.COMPLETED}
+    assert load.owner.status_feed.take_changes() == {
+        job.identifier: JobStatus.COMPLETED
+    }
 
 
 @pytest.mark.parametrize("status", [JobStatus.FAILED, JobStatus.CANCELLED])
@@ -41,4 +43,4 @@
     load.owner.recording.note_failure()
     (job,) = load.owner.book.jobs()
     load.owner.book.finish(job, status, load.now)
-    assert load.owner.news.take_changes() == {job.identifier: JobStatus.RUNNING}
+    assert load.owner.status_feed.take_changes() == {job.identifier: JobStatus.RUNNING}
