--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -271,7 +271,7 @@
     @contextlib.contextmanager
     def held(self):
         """Hold the journal's writer back, so that records gather."""
-        with self.shard.journal._writing:
+        with self.shard.journal._write_lock:
             yield
 
     def wait_for_records(self, count):
