--- a/papayapick/checks/bundles.py
+++ b/papayapick/checks/bundles.py
@@ -4,7 +4,12 @@
 from papayapick.checks.findings import Finding
 from papayapick.checks.queries import register
 from papayapick.checks.surroundings import read_bundle
-from papayapick.clients.hosts import GATEWAY_KIND, INSTANCE, PLACER_KIND, WORKER
+from papayapick.clients.hosts import (
+    GATEWAY_KIND,
+    INSTANCE_KIND,
+    PLACER_KIND,
+    WORKER_KIND,
+)
 from papayapick.ledger import Amounts
 
 __all__ = ["check_bundles", "check_hosts", "check_services", "check_teams"]
@@ -34,7 +39,7 @@
     bundle, entries = surroundings.compared_bundle, surroundings.entries
     if bundle is None or entries is None:
         return
-    listed = {entry.service for entry in entries if entry.kind == INSTANCE}
+    listed = {entry.service for entry in entries if entry.kind == INSTANCE_KIND}
     for name in sorted(set(bundle.services) - listed):
         message = f"service {name} has no instance on the live list"
         yield Finding("bundle.W001", message, "its requests will be refused")
@@ -73,7 +78,7 @@
         return
     total = Amounts()
     for entry in entries:
-        if entry.kind == WORKER and entry.is_live:
+        if entry.kind == WORKER_KIND and entry.is_live:
             total += Amounts.from_mapping(entry.capacity)
     for name, quota in sorted(bundle.teams.items()):
         if not Amounts.from_mapping(quota).fits_in(total):
--- a/papayapick/clients/hosts.py
+++ b/papayapick/clients/hosts.py
@@ -8,10 +8,17 @@
     NotSent,
 )
 
-__all__ = ["GATEWAY_KIND", "INSTANCE", "PLACER_KIND", "WORKER", "HostEntry", "HostList"]
-
-WORKER = "worker"
-INSTANCE = "instance"
+__all__ = [
+    "GATEWAY_KIND",
+    "INSTANCE_KIND",
+    "PLACER_KIND",
+    "WORKER_KIND",
+    "HostEntry",
+    "HostList",
+]
+
+WORKER_KIND = "worker"
+INSTANCE_KIND = "instance"
 PLACER_KIND = "placer"
 GATEWAY_KIND = "gateway"
 LIVE = "live"
--- a/papayapick/placer/listing.py
+++ b/papayapick/placer/listing.py
@@ -2,7 +2,7 @@
 
 import threading
 
-from papayapick.clients.hosts import INSTANCE, WORKER
+from papayapick.clients.hosts import INSTANCE_KIND, WORKER_KIND
 from papayapick.ledger import Amounts
 from papayapick.ownership import shard_of
 
@@ -65,12 +65,12 @@
         by_shard = {}
         capacities = set()
         for entry in entries:
-            if entry.kind not in (WORKER, INSTANCE):
+            if entry.kind not in (WORKER_KIND, INSTANCE_KIND):
                 continue
             worker = entry.worker or entry.name
             shard = shard_of(worker, entry.zone, shards_per_zone)
             by_shard.setdefault(shard, []).append(entry)
-            if entry.kind == WORKER:
+            if entry.kind == WORKER_KIND:
                 capacities.add(Amounts.from_mapping(entry.capacity))
         self._by_shard = by_shard
         self._capacities = frozenset(capacities)
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -1,7 +1,7 @@
 """Load the work of a shard, fence its hosts and count the work they run."""
 
 from papayapick.clients import PlatformError, StaleEpoch
-from papayapick.clients.hosts import WORKER
+from papayapick.clients.hosts import WORKER_KIND
 from papayapick.journal.queries import read_journal
 from papayapick.ledger import Amounts
 from papayapick.observability import get_logger
@@ -96,14 +96,14 @@
 
     @staticmethod
     def _add(shard, entry):
-        if entry.kind == WORKER:
+        if entry.kind == WORKER_KIND:
             shard.add_worker(entry)
         else:
             shard.add_instance(entry)
 
     @staticmethod
     def _is_open(shard, entry):
-        if entry.kind == WORKER:
+        if entry.kind == WORKER_KIND:
             return shard.hosts.is_open(entry.name)
         return shard.slot_allocator.with_ledger(
             lambda ledger: ledger.is_open(entry.name)
@@ -111,14 +111,14 @@
 
     @staticmethod
     def _close(shard, entry):
-        if entry.kind == WORKER:
+        if entry.kind == WORKER_KIND:
             shard.hosts.close(entry.name)
         else:
             shard.slot_allocator.with_ledger(lambda ledger: ledger.close(entry.name))
 
     def _open(self, shard, entry):
         try:
-            if entry.kind == WORKER:
+            if entry.kind == WORKER_KIND:
                 self._open_worker(shard, entry)
             else:
                 self._open_instance(shard, entry)
--- a/papayapick/platform/machines.py
+++ b/papayapick/platform/machines.py
@@ -22,13 +22,13 @@
 
     # The upkeep has begun, through this order or an earlier one.
     BEGUN = "begun"
-    # The machine is down or is being removed.
+    # The machine is not up, or is leaving.
     BUSY = "busy"
     # The machine has accepted an order of a newer owner.
     FENCED = "fenced"
     NOT_IN_WAVE = "not in wave"
     NO_MACHINE = "no machine"
-    # The service refused the call, is overloaded or failing, or was not reached.
+    # The service is overloaded, failing or unreachable; nothing was done.
     REFUSED = "refused"
     # No valid answer: the upkeep may have begun or may still begin.
     UNKNOWN = "unknown"
--- a/papayapick/wire/client.py
+++ b/papayapick/wire/client.py
@@ -1,4 +1,4 @@
-"""Send requests to a peer and match the replies to them."""
+"""Send messages to a peer and match the answers to them."""
 
 import itertools
 import socket
@@ -32,7 +32,7 @@
     cell_key : CellKeys or bytes
     identity : Hello
     executor : concurrent.futures.Executor
-        Runs a task that reads replies for as long as the connection is open.
+        Runs a task that reads answers for as long as the connection is open.
     connect_seconds : float
         Time limit for connecting, and again for the handshake.
     meter : callable, optional
@@ -68,7 +68,7 @@
 
     @property
     def address(self):
-        """Return the peer's IP number and port."""
+        """Return the peer's IP address and port."""
         return self._address
 
     def call(self, payload, traceparent=""):
--- a/papayapick/wire/server.py
+++ b/papayapick/wire/server.py
@@ -84,7 +84,7 @@
 
     @property
     def address(self):
-        """Return the IP number and port that peers connect to."""
+        """Return the IP address and port that peers connect to."""
         return self._listener.getsockname()[:2]
 
     def start(self):
