--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -12,8 +12,8 @@
     WORKER_FENCED,
 )
 from papayapick.pool.metrics import ENDS
+from papayapick.pool.reconciliation import PREDECESSOR_LEASE_SECONDS
 from papayapick.pool.reports import EndOutcome, run_fields
-from papayapick.pool.settling import QUIET_SECONDS
 
 __all__ = ["WorkerReportHandler"]
 
@@ -77,8 +77,10 @@
             if not link.has_reported:
                 link.has_reported = True
                 # Runs that an earlier owner started there are covered by its lease.
-                link.lapse_at = max(link.lapse_at, self._owner.taken_at + QUIET_SECONDS)
-                self._owner.settling.note_inventory(now)
+                link.lapse_at = max(
+                    link.lapse_at, self._owner.taken_at + PREDECESSOR_LEASE_SECONDS
+                )
+                self._owner.reconciliation.release_safe_tasks(now)
             self.update_availability(link)
             if not report.has_more_ends:
                 self._drop_never_started(room, report, requested_at, now)
@@ -108,7 +110,7 @@
     def note_fenced(self, link):
         """Check the ownership of the pool, as a worker has seen a newer epoch."""
         WORKER_FENCED.write(worker=link.worker, epoch=self._owner.row.epoch)
-        self._owner.standing.doubt()
+        self._owner.ownership_status.invalidate()
         self._owner.host.verify_ownership(self._owner)
 
     def note_restart(self, link, born, listed=frozenset()):
@@ -128,7 +130,9 @@
             self._mark_lost(link, "began anew", lambda run: run.name not in listed)
             link.begin_incarnation(born)
             if not link.has_reported:
-                self._owner.settling.note_gone(link.worker, self._owner.now())
+                self._owner.reconciliation.note_worker_gone(
+                    link.worker, self._owner.now()
+                )
         self._owner.wake()
 
     def update_availability(self, link):
@@ -152,7 +156,7 @@
             room.release(run)
         link.processed = end.number
         ENDS.labels(end.outcome).inc()
-        self._owner.laggards.note_end(step, run, end, room, now)
+        self._owner.run_monitor.note_end(step, run, end, room, now)
         if step is not None and end.outcome != EndOutcome.DONE:
             self._log_run_end(step, end, run, link.worker, now)
 
--- a/papayapick/pool/retention.py
+++ b/papayapick/pool/retention.py
@@ -52,4 +52,4 @@
     with owner.lock:
         for identifier in expired:
             owner.book.forget(identifier)
-            owner.advising.forget(identifier)
+            owner.advice_manager.forget(identifier)
--- a/papayapick/pool/laggards.py
+++ b/papayapick/pool/run_monitor.py
@@ -1,4 +1,8 @@
-"""Move runs off sick workers, and use such workers last."""
+"""Detection of stalled and slow runs, and of the workers that cause them.
+
+A run that stalls or falls far behind is stopped, so that its task starts on another
+worker, and its worker is marked as suspect and used last.
+"""
 
 from papayapick.placement.progress import (
     REPLACED_LIMIT,
@@ -12,16 +16,16 @@
 from papayapick.pool.events import RUN_REPLACED, WORKER_SUSPECTED
 from papayapick.pool.reports import EndOutcome, run_fields
 
-__all__ = ["Laggards"]
+__all__ = ["RunMonitor"]
 
 
-class Laggards:
-    """Act on what the progress of runs and their ends tell of workers.
+class RunMonitor:
+    """Watch the progress and outcome of runs, and act on slow or failing workers.
 
     Parameters
     ----------
     owner : PoolOwner
-        Its lock is held by the caller.
+        Its lock must be held by the caller of every method.
     """
 
     __slots__ = ("_failures", "_owner", "_slowness")
@@ -31,10 +35,11 @@
         self._failures = FailingWorkerDetector()
         self._slowness = SlowWorkerDetector()
 
-    def replace(self, now):
-        """Stop runs that stand still or lag far behind, to start them elsewhere.
+    def replace_slow_runs(self, now):
+        """Stop runs that are stalled or far too slow, to start them elsewhere.
 
-        Where the step allows copies, the next copy is started beside instead.
+        If the step allows copies, the run is not stopped: ``Decisions.start_copies``
+        starts a second copy on another worker.
         """
         for room in self._owner.rooms:
             room.expire_suspicion(now)
@@ -42,23 +47,25 @@
             for step in job.steps():
                 for run in stalled_runs(step):
                     self._replace(step, run, now)
-                slow, sound = compare_runs(step)
-                for run in sound:
+                slow, healthy = compare_runs(step)
+                for run in healthy:
                     self._slowness.note_normal(run, now)
                 for run in slow:
                     if self._slowness.note_slow(run, now):
                         self._replace(step, run, now)
 
     def note_end(self, step, run, end, room, now):
-        """Take in an end that a worker has listed.
+        """Update the failure and slowness statistics after the end of a run.
 
         Parameters
         ----------
         step : StepState or None
+            None if the job is unknown.
         run : Run or None
-            None where this owner did not know it.
+            None if this owner did not know the run.
         end : EndReport
         room : WorkerRoom
+            Of the worker that reported the end.
         now : float
         """
         is_failed = end.outcome == EndOutcome.FAILED
@@ -71,7 +78,7 @@
             self._slowness.note_normal(run, now)
 
     def forget(self, worker):
-        """Drop what is known of a worker that is gone."""
+        """Drop the statistics of a worker that was removed."""
         self._failures.forget(worker)
         self._slowness.forget(worker)
 
@@ -96,7 +103,7 @@
         self._owner.orders.stop_once(run, now)
 
     def _suspect(self, room, reason, now, is_failing=False):
-        """Use a worker last for a while, or not at all where it fails everything."""
+        """Use a worker last for some time, or not at all if it fails all its runs."""
         if not room.is_suspected:
             WORKER_SUSPECTED.write(
                 worker=room.worker, reason=reason, seconds=SUSPECT_SECONDS
@@ -104,12 +111,12 @@
         room.mark_suspected(now, SUSPECT_SECONDS, is_failing)
 
     def _has_alternative(self, step, run):
-        """Return whether another worker has room for the task of a run now."""
+        """Return whether another healthy worker has capacity for a run's task now."""
         allowed = None
         if step.job.queue.advice is not None:
-            allowed = self._owner.advising.tickets(step, now=self._owner.now())
+            allowed = self._owner.advice_manager.tickets(step, now=self._owner.now())
             if allowed is None:
-                self._owner.advising.want(step, self._owner.now())
+                self._owner.advice_manager.request_if_useful(step, self._owner.now())
                 return False
         room = self._owner.rooms.choose(step, run.key.index, allowed)
         return room is not None and not room.is_suspected and room.worker != run.worker
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -118,7 +118,7 @@
         except (CallFailed, TableUnavailable, ConditionFailed) as error:
             # The next step starts again from the stored records, as an order may be
             # sent only once its record is durable. A replacement by a newer owner is
-            # detected by ``owner.standing``.
+            # detected by ``owner.ownership_status``.
             self._must_reload = True
             WAVE_PUT_OFF.write(pool=self._owner.pool, error=str(error))
 
@@ -224,7 +224,7 @@
         link = self._owner.links_by_worker.get(worker)
         if room is not None and link is not None:
             room.is_draining = is_drained
-            self._owner.lists.update_availability(link)
+            self._owner.report_handler.update_availability(link)
 
     def _drain(self, open_wave, worker, drain_limit):
         """Stop the runs that have to leave a worker; return whether it runs nothing."""
@@ -268,7 +268,7 @@
             return
         UPKEEP_NOT_BEGUN.write(**fields, reason=outcome.value)
         if outcome == UpkeepOutcome.FENCED:
-            owner.standing.doubt()
+            owner.ownership_status.invalidate()
             owner.host.verify_ownership(owner)
 
     def _write_record(self, key, record):
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -97,8 +97,8 @@
     def confirm_all_read(self):
         """Mark all jobs as read and the ownership as confirmed, as of now."""
         now = self.host.clock.monotonic()
-        self.owner.sources._note_complete(now)
-        self.owner.standing.note_confirmed(now)
+        self.owner.store_sync._note_complete(now)
+        self.owner.ownership_status.note_confirmed(now)
 
     def beat(self):
         self.sender._beat()
@@ -173,7 +173,7 @@
     owning.beat()
     for _ in range(11):
         owning.advance(0.2)
-        owning.owner.standing.note_confirmed(owning.host.clock.monotonic())
+        owning.owner.ownership_status.note_confirmed(owning.host.clock.monotonic())
         owning.beat()
     assert count(host)[0] == "503 Service Unavailable"
     owning.confirm_all_read()
--- a/tests/pool/fault_simulation.py
+++ b/tests/pool/fault_simulation.py
@@ -444,7 +444,7 @@
             ManualExecutor(),
             ManualExecutor(),
         )
-        owner.sources.load()
+        owner.store_sync.load()
         for name, link in owner.links_by_worker.items():
             link.client = UnreliableClient(self, self._workers[name])
             self._poll_at[name] = self.now + self.rng.uniform(0.0, 0.2)
@@ -457,11 +457,11 @@
         for worker in self._workers.values():
             if worker.is_up:
                 worker.work(STEP_SECONDS)
-        self._owner.standing.note_confirmed(self.now)
+        self._owner.ownership_status.note_confirmed(self.now)
         for name, link in self._owner.links_by_worker.items():
             if self.now >= self._poll_at[name]:
                 self._poll_at[name] = self.now + self._poll(link)
-        self._owner.loop._decide(self.now)
+        self._owner.loop._run_round(self.now)
         if self.rng.random() < 0.7:
             self._owner.journal.commit()
         self._run_some_orders(self._owner.orders._executor)
