--- a/papayapick/clients/instances.py
+++ b/papayapick/clients/instances.py
@@ -54,7 +54,8 @@
         seconds : float
         traceparent : str
         fresh : bool
-            Use a new connection, so that NotSent proves that the request did not run.
+            Use a new connection. On an idle one that the server has closed, a request
+            that did not run would raise AnswerMissing instead of NotSent.
 
         Returns
         -------
--- a/papayapick/platform/workers.py
+++ b/papayapick/platform/workers.py
@@ -24,9 +24,9 @@
 # time it counts as unanswered: the run is stopped and the task is placed elsewhere.
 _ORDER_SECONDS = 0.35
 _POLL_SLACK_SECONDS = 0.8
-# No other report of the worker arrives during a call that waits for the end of a run,
-# so a lost one is given up soon after its wait. With one lost renewal in thirty, the
-# longer slack above delayed the detection of ended steps by up to 1.6 s.
+# While a call waits for the end of a run, no other report of its worker arrives, so a
+# lost call is given up soon after its wait. With one lost renewal in thirty, the longer
+# slack above delayed the detection of ended steps by up to 1.6 s.
 _LONG_POLL_SLACK_SECONDS = 0.35
 # Maximum number of ended runs that a worker lists in one answer.
 _ENDS_PER_ANSWER = 500
--- a/papayapick/wire/frames.py
+++ b/papayapick/wire/frames.py
@@ -116,7 +116,7 @@
 
         Raises
         ------
-        FrameInvalid, GreetingOverdue, PeerDisconnected
+        FrameInvalid, HandshakeTimeout, PeerDisconnected
         """
         self._deadline = self._clock.monotonic() + seconds
         nonce = self._send_hello()
--- a/papayapick/wire/messages.py
+++ b/papayapick/wire/messages.py
@@ -240,7 +240,7 @@
 
 
 class PoolBeatAnswer(Payload):
-    """Report the newest epoch that a host knows and the age of its data of the store.
+    """Report the newest epoch that a host knows and the age of its data from the store.
 
     ``clock_milliseconds`` is the monotonic time of the host that answers.
     """
