--- a/papayapick/observability/__init__.py
+++ b/papayapick/observability/__init__.py
@@ -2,7 +2,7 @@
 
 import importlib
 
-_HOMES = {
+_MODULES = {
     "AccessLog": "access",
     "Metrics": "metrics",
     "Tracing": "traces",
@@ -28,11 +28,11 @@
 
 
 def __getattr__(name):
-    """Load a name from its module when it is first asked for.
+    """Import the module of a name on first access.
 
-    The tracing library costs 26 of the 177 ms of an entry host's imports, and the
-    entry host names loggers and events only.
+    The tracing library takes 26 of the 177 ms that an entry host spends on imports,
+    and an entry host uses loggers and events only.
     """
-    if name not in _HOMES:
+    if name not in _MODULES:
         raise AttributeError(name)
-    return getattr(importlib.import_module(f"{__name__}.{_HOMES[name]}"), name)
+    return getattr(importlib.import_module(f"{__name__}.{_MODULES[name]}"), name)
--- a/papayapick/observability/access.py
+++ b/papayapick/observability/access.py
@@ -1,4 +1,4 @@
-"""Write one line for each request that a gateway answers."""
+"""Log the requests that a gateway answers, one line each."""
 
 import logging
 
@@ -8,50 +8,51 @@
 
 ALL, FAILURES, NONE = "all", "failures", "none"
 _LOG = logging.getLogger("papayapick.access")
-_PATH_CHARACTERS = 128
-_FIRST_FAILURE = 400
+_MAX_PATH_CHARACTERS = 128
+_FIRST_FAILURE_STATUS = 400
 
 
 class AccessLog:
-    """Write what was asked and answered; never a body, key or other header.
+    """Log method, path, status and outcome; never a body, a key or another header.
 
     Parameters
     ----------
-    kept : {"all", "failures", "none"}
+    logged : {"all", "failures", "none"}
+        Which requests are written.
     clock : Clock
     """
 
-    __slots__ = ("_clock", "_kept")
+    __slots__ = ("_clock", "_logged")
 
-    def __init__(self, kept, clock):
-        self._kept = kept
+    def __init__(self, logged, clock):
+        self._logged = logged
         self._clock = clock
 
     def start(self):
-        """Return the moment from which ``write`` counts."""
+        """Return the start time of a request on the monotonic clock, in seconds."""
         return self._clock.monotonic()
 
-    def write(self, began, method, path, status, outcome):
-        """Write the line of one request.
+    def write(self, started_at, method, path, status, outcome):
+        """Log one request.
 
         Parameters
         ----------
-        began : float
-            As ``start`` gave it.
+        started_at : float
+            As returned by ``start``.
         method, path : str
         status : int
         outcome : str
-            What became of the work.
+            Outcome of the work.
         """
-        is_failure = status >= _FIRST_FAILURE
-        if self._kept == NONE or (self._kept == FAILURES and not is_failure):
+        is_failure = status >= _FIRST_FAILURE_STATUS
+        if self._logged == NONE or (self._logged == FAILURES and not is_failure):
             return
         fields = {
             **current_fields(),
             "method": method[:16],
-            "path": path[:_PATH_CHARACTERS],
+            "path": path[:_MAX_PATH_CHARACTERS],
             "status": status,
             "outcome": outcome,
-            "milliseconds": round((self._clock.monotonic() - began) * 1000, 3),
+            "milliseconds": round((self._clock.monotonic() - started_at) * 1000, 3),
         }
         _LOG.info("request", extra=fields)
--- a/papayapick/observability/events.py
+++ b/papayapick/observability/events.py
@@ -1,9 +1,9 @@
-"""Write typed events as JSON lines, bounded in volume and never waiting.
+"""Write typed events as JSON lines, bounded in volume and without blocking.
 
-An event says what was decided, about which request, from which inputs and of what
-age. Each kind may write so many lines a second; what is left out is counted and said.
-A task of its own writes to standard output: a reader that has stopped reading fills a
-queue and then costs lines, never a decision.
+An event records a decision: about which request it was made, from which inputs and how
+old these were. Each kind has a limit of lines per second; dropped lines are counted and
+reported. A separate thread writes to standard output: when its reader stalls, the queue
+fills and lines are dropped, but no decision is delayed.
 """
 
 import logging
@@ -19,46 +19,46 @@
 
 _LOG = logging.getLogger("papayapick.events")
 _FORMAT = "%(asctime)s %(levelname)s %(message)s"
-_OWN_ATTRIBUTES = [*RESERVED_ATTRS, "fields", "kind"]
-_RENAMED = {"asctime": "time", "levelname": "level", "message": "event"}
-# Lines a second of one kind. At 440 starts a second the target has some 300 steps a
-# second; a line takes 30 us and 300 bytes, so ten such kinds at their limit cost 1% of
-# a core and 90 KB/s.
-_PER_SECOND = 30
-# Lines that wait for the writer: about 1 MB.
-_WAITING_LINES = 4000
-_CLOSE_SECONDS = 0.3
-# Lines that come within this time are written together: a write for each takes more of
-# an owner's core than the lines themselves.
-_GATHER_SECONDS = 0.02
-_LOOK_SECONDS = 1.0
+_RESERVED_ATTRIBUTES = [*RESERVED_ATTRS, "fields", "kind"]
+_RENAMED_FIELDS = {"asctime": "time", "levelname": "level", "message": "event"}
+# Default limit of lines per second of one kind. The target load has 440 starts and
+# some 300 steps per second. A line takes 30 us and 300 bytes, so ten kinds at this
+# limit take 1% of a core and 90 KB/s.
+_DEFAULT_PER_SECOND = 30
+# Capacity of the queue to the writer, in lines: about 1 MB.
+_QUEUE_LINES = 4000
+_CLOSE_TIMEOUT_SECONDS = 0.3
+# Lines within this time are written with one call: a call for each line takes more
+# processor time of an owner than the lines themselves.
+_BATCH_SECONDS = 0.02
+_POLL_SECONDS = 1.0
 
 EVENTS = {}
 
 
 class Event:
-    """Describe one kind of line and write it.
+    """Describe one kind of event and write its lines.
 
     Parameters
     ----------
     name : str
-        As the line names it; unique.
+        Value of the field ``event``; unique.
     fields : str
         Names of its fields, separated by spaces.
     meaning : str
-        For the reference page.
+        Description for the reference page.
     level : int
     per_second : int
-        Lines that may be written in a second.
+        Most lines that are written per second.
     """
 
     __slots__ = ("fields", "level", "meaning", "name", "per_second")
 
     def __init__(
-        self, name, fields, meaning, level=logging.INFO, per_second=_PER_SECOND
+        self, name, fields, meaning, level=logging.INFO, per_second=_DEFAULT_PER_SECOND
     ):
         if name in EVENTS:
-            raise ValueError(f"event {name} is there already")
+            raise ValueError(f"event {name} is defined already")
         self.name = name
         self.fields = tuple(fields.split())
         self.meaning = meaning
@@ -71,7 +71,7 @@
         self._write(values, exc_info=False)
 
     def write_failure(self, **values):
-        """Write a line with these fields and the exception that is handled."""
+        """Write a line with these fields and the exception being handled."""
         self._write(values, exc_info=True)
 
     def _write(self, values, exc_info):
@@ -83,41 +83,42 @@
 LINES_LEFT_OUT = Event(
     "lines left out",
     "of count",
-    "So many lines of an event were not written since the last one that was: more came "
-    "in a second than it may have, or nobody read the output.",
+    "Lines of an event that were dropped since the last report: more came in a second "
+    "than its limit allows, or the output was not read.",
     level=logging.WARNING,
 )
 
 
-class _Budget(logging.Filter):
-    """Let so many lines of each event pass in a second, and count the others."""
+class _RateLimit(logging.Filter):
+    """Limit the lines per second of each event, and count the dropped ones."""
 
-    def __init__(self, clock, left_out):
+    def __init__(self, clock, dropped):
         super().__init__()
         self._clock = clock
-        self._left_out = left_out
-        # By event: second in which it was last written, and lines written in it.
+        self._dropped = dropped
+        # By event: the second of its last line, and the lines written in it.
         self._written = {}
         self._lock = threading.Lock()
 
     def filter(self, record):
         kind = getattr(record, "kind", None)
-        # Lines of packages that know no events count by their text.
+        # Records that are no events, such as those of other packages, are limited
+        # by their message.
         name = record.msg if kind is None else kind.name
-        limit = _PER_SECOND if kind is None else kind.per_second
+        limit = _DEFAULT_PER_SECOND if kind is None else kind.per_second
         second = int(self._clock.monotonic())
         with self._lock:
             last, count = self._written.get(name, (second, 0))
             count = count if last == second else 0
             if count >= limit:
-                self._left_out.note(name)
+                self._dropped.add(name)
                 return False
             self._written[name] = (second, count + 1)
         return True
 
 
-class _LeftOut:
-    """Count the lines that were not written, by event."""
+class _DropCounter:
+    """Count dropped lines by event."""
 
     __slots__ = ("_counts", "_lock")
 
@@ -125,26 +126,26 @@
         self._counts = {}
         self._lock = threading.Lock()
 
-    def note(self, name):
+    def add(self, name):
         with self._lock:
             self._counts[name] = self._counts.get(name, 0) + 1
 
-    def take(self):
+    def pop_counts(self):
         with self._lock:
             counts, self._counts = self._counts, {}
         return counts
 
 
-class _Handler(logging.handlers.QueueHandler):
-    """Put records into a bounded queue without waiting."""
+class _DroppingQueueHandler(logging.handlers.QueueHandler):
+    """Put records into a bounded queue, and drop them when it is full."""
 
-    def __init__(self, waiting, left_out):
-        super().__init__(waiting)
-        self._left_out = left_out
+    def __init__(self, record_queue, dropped):
+        super().__init__(record_queue)
+        self._dropped = dropped
 
     def prepare(self, record):
-        # The record stays in this process: its fields need no copy. An exception's
-        # text is made here, where its frames are still as they were.
+        # The record stays in this process, so its fields need no copy. An exception is
+        # formatted here, before its frames change.
         if record.exc_info:
             record.exc_text = logging.Formatter().formatException(record.exc_info)
             record.exc_info = None
@@ -154,11 +155,11 @@
         try:
             self.queue.put_nowait(record)
         except queue.Full:
-            # Nobody reads the output. Waiting here would hold up whoever decides.
-            self._left_out.note(record.getMessage())
+            # The output is not read. Waiting here would block the thread that decides.
+            self._dropped.add(record.getMessage())
 
 
-class _Formatter(JsonFormatter):
+class _EventFormatter(JsonFormatter):
     """Add the fields of an event to its line."""
 
     def add_fields(self, log_data, record, message_dict):
@@ -166,46 +167,46 @@
         log_data.update(getattr(record, "fields", {}))
 
 
-class _Writer:
-    """Write records to a stream, those that come together with one call.
+class _StreamWriter:
+    """Write records to a stream, in batches.
 
     Parameters
     ----------
-    waiting : queue.Queue of logging.LogRecord
+    record_queue : queue.Queue of logging.LogRecord
     stream : file
     formatter : logging.Formatter
-    left_out : _LeftOut
+    dropped : _DropCounter
     """
 
-    __slots__ = ("_formatter", "_left_out", "_stopping", "_stream", "_waiting")
+    __slots__ = ("_formatter", "_dropped", "_stopping", "_stream", "_queue")
 
-    def __init__(self, waiting, stream, formatter, left_out):
-        self._waiting = waiting
+    def __init__(self, record_queue, stream, formatter, dropped):
+        self._queue = record_queue
         self._stream = stream
         self._formatter = formatter
-        self._left_out = left_out
+        self._dropped = dropped
         self._stopping = threading.Event()
 
     def run(self):
-        """Write until stopped, then what still waits."""
+        """Write records until stopped, then those left in the queue."""
         while not self._stopping.is_set():
             try:
-                first = self._waiting.get(timeout=_LOOK_SECONDS)
+                first = self._queue.get(timeout=_POLL_SECONDS)
             except queue.Empty:
                 continue
-            self._stopping.wait(_GATHER_SECONDS)
-            self._write([first, *self._take()])
-        self._write(self._take())
+            self._stopping.wait(_BATCH_SECONDS)
+            self._write([first, *self._drain()])
+        self._write(self._drain())
 
     def stop(self):
-        """Write what waits, and end."""
+        """Let ``run`` write the records left in the queue and return."""
         self._stopping.set()
 
-    def _take(self):
+    def _drain(self):
         taken = []
         while True:
             try:
-                taken.append(self._waiting.get_nowait())
+                taken.append(self._queue.get_nowait())
             except queue.Empty:
                 return taken
 
@@ -217,43 +218,45 @@
             self._stream.write("".join(lines))
             self._stream.flush()
         except (OSError, ValueError):
-            # The output is closed. There is nowhere to say so but the counts.
+            # The output is closed, so only the counts can show the loss.
             for record in records:
-                self._left_out.note(record.getMessage())
+                self._dropped.add(record.getMessage())
 
 
 class EventLog:
-    """Write all events of this process to a stream.
+    """Write the events of this process to a stream.
 
     Parameters
     ----------
     clock : Clock
     level : str
-        Least level that is written.
+        Lowest level that is written.
     static_fields : dict
-        On each line.
+        Added to each line.
     stream : file, optional
-        Standard output where none is given.
+        Standard output by default.
     on_dropped_lines : callable, optional
-        Called with the number of lines that were left out, when they are told.
+        Called with the count of dropped lines of an event when it is reported.
     """
 
-    __slots__ = ("_handler", "_left_out", "_on_left_out", "_task", "_writer")
+    __slots__ = ("_handler", "_dropped", "_on_dropped_lines", "_thread", "_writer")
 
     def __init__(self, clock, level, static_fields, stream=None, on_dropped_lines=None):
-        self._on_left_out = on_dropped_lines or (lambda count: None)
-        self._left_out = _LeftOut()
-        waiting = queue.Queue(_WAITING_LINES)
-        self._handler = _Handler(waiting, self._left_out)
-        self._handler.addFilter(_Budget(clock, self._left_out))
-        formatter = _Formatter(
+        self._on_dropped_lines = on_dropped_lines or (lambda count: None)
+        self._dropped = _DropCounter()
+        record_queue = queue.Queue(_QUEUE_LINES)
+        self._handler = _DroppingQueueHandler(record_queue, self._dropped)
+        self._handler.addFilter(_RateLimit(clock, self._dropped))
+        formatter = _EventFormatter(
             _FORMAT,
-            rename_fields=_RENAMED,
+            rename_fields=_RENAMED_FIELDS,
             static_fields=static_fields,
-            reserved_attrs=_OWN_ATTRIBUTES,
+            reserved_attrs=_RESERVED_ATTRIBUTES,
         )
-        self._writer = _Writer(waiting, stream or sys.stdout, formatter, self._left_out)
-        self._task = threading.Thread(
+        self._writer = _StreamWriter(
+            record_queue, stream or sys.stdout, formatter, self._dropped
+        )
+        self._thread = threading.Thread(
             target=self._writer.run, name="events", daemon=True
         )
         root = logging.getLogger("papayapick")
@@ -262,20 +265,20 @@
         root.propagate = False
 
     def start(self):
-        """Begin to write, as a task of its own."""
-        self._task.start()
+        """Start the thread that writes."""
+        self._thread.start()
 
     def report_dropped_lines(self):
-        """Write how many lines were left out since the last call."""
+        """Write how many lines were dropped since the last call."""
         if self._handler.queue.full():
-            # Nobody reads: the counts are kept until somebody does.
+            # The output is not read: keep the counts until it is.
             return
-        for name, count in sorted(self._left_out.take().items()):
-            self._on_left_out(count)
+        for name, count in sorted(self._dropped.pop_counts().items()):
+            self._on_dropped_lines(count)
             LINES_LEFT_OUT.write(of=name, count=count)
 
     def close(self):
-        """Write what waits; give up where nobody reads."""
+        """Write the queued lines; give up after a timeout if the output is not read."""
         self.report_dropped_lines()
         self._writer.stop()
-        self._task.join(_CLOSE_SECONDS)
+        self._thread.join(_CLOSE_TIMEOUT_SECONDS)
--- a/papayapick/observability/fields.py
+++ b/papayapick/observability/fields.py
@@ -1,4 +1,4 @@
-"""Carry the fields that every log line of a request or process has."""
+"""Keep the fields that are added to each log line of a request or a process."""
 
 import contextlib
 import contextvars
@@ -10,13 +10,13 @@
 
 
 def set_process_fields(**fields):
-    """Set fields of each later line of this process, such as the bundle's sequence."""
+    """Set fields for all later lines of this process, such as the bundle's sequence."""
     _process_fields.update(fields)
 
 
 @contextlib.contextmanager
 def log_fields(**fields):
-    """Add fields to each line that the current task writes meanwhile.
+    """Add fields to each line that the current task logs within the context.
 
     Examples
     --------
@@ -35,11 +35,11 @@
 
 def note_fields(**fields):
     """Add fields to the innermost ``log_fields`` of the current task, if any."""
-    found = _request_fields.get()
-    if found is not None:
-        found.update(fields)
+    innermost = _request_fields.get()
+    if innermost is not None:
+        innermost.update(fields)
 
 
 def current_fields():
-    """Return the fields of a line written now."""
+    """Return the fields of the process and of the current task."""
     return {**_process_fields, **(_request_fields.get() or {})}
--- a/papayapick/observability/log_reader.py
+++ b/papayapick/observability/log_reader.py
@@ -1,4 +1,4 @@
-"""Read the lines that the programs have logged."""
+"""Read the log lines of the programs."""
 
 import json
 from datetime import UTC, datetime
@@ -7,23 +7,22 @@
 
 
 class Line:
-    """Hold one line of a log.
+    """Hold one event from a log.
 
     Parameters
     ----------
     fields : dict
-        As decoded; ``event`` and ``time`` are there.
+        The decoded JSON object, with at least ``event`` and ``time``.
 
     Attributes
     ----------
     seconds : float
-        Its time, counted from one moment for all days. Clocks are taken for UTC where
-        the time names no zone.
+        Its time in Unix seconds. A time without a zone is taken as UTC.
 
     Raises
     ------
     ValueError
-        Where its time is none.
+        If its time is not in ISO 8601 format.
     """
 
     __slots__ = ("event", "fields", "host", "seconds", "time")
@@ -33,34 +32,34 @@
         self.event = fields["event"]
         self.host = fields.get("host", "")
         self.time = fields["time"]
-        self.seconds = _seconds(self.time)
+        self.seconds = _unix_seconds(self.time)
 
     def mentions(self, request_id):
-        """Return whether the line is about a request."""
+        """Return whether the line names a request."""
         named = self.fields.get("request_ids") or ()
         return self.fields.get("request_id") == request_id or request_id in named
 
     def format_fields(self):
-        """Return its own fields as text, without those that each line has."""
+        """Return its fields as text, without those that all lines have."""
         common = ("time", "level", "event", "host", "zone", "request_id")
-        own = {key: one for key, one in self.fields.items() if key not in common}
-        return " ".join(f"{key}={json.dumps(one)}" for key, one in own.items())
+        own = {key: value for key, value in self.fields.items() if key not in common}
+        return " ".join(f"{key}={json.dumps(value)}" for key, value in own.items())
 
 
 def read_lines(texts):
-    """Return the lines of several logs, in the order of their times.
+    """Return the lines of several logs, sorted by time.
 
     Parameters
     ----------
     texts : iterable of str
-        Lines; those that are no JSON object of this project, with event and time, are
-        left out. Something may stand before the object, such as the name of a host.
+        Lines. A line is skipped unless it holds a JSON object with ``event`` and
+        ``time``; a prefix before the object, such as a host's name, is ignored.
 
     Returns
     -------
     list of Line
-        Clocks of hosts may differ by seconds: lines of different hosts that are close
-        to each other may stand in the wrong order.
+        Clocks of hosts may differ by seconds, so lines of different hosts that were
+        written within seconds of each other may be in the wrong order.
     """
     found = []
     for text in texts:
@@ -72,12 +71,12 @@
             if isinstance(fields, dict) and {"event", "time"} <= fields.keys():
                 found.append(Line(fields))
         except (TypeError, ValueError):
-            # A line that was cut off, or one of another program.
+            # The line is truncated, or another program wrote it.
             continue
     return sorted(found, key=lambda line: line.seconds)
 
 
-def _seconds(text):
+def _unix_seconds(text):
     moment = datetime.fromisoformat(text)
     if moment.tzinfo is None:
         moment = moment.replace(tzinfo=UTC)
--- a/papayapick/observability/log_setup.py
+++ b/papayapick/observability/log_setup.py
@@ -1,4 +1,4 @@
-"""Write the logs of gateway and placer as JSON lines to standard error."""
+"""Configure gateway and placer to log JSON lines to standard error."""
 
 import logging
 import sys
@@ -11,7 +11,7 @@
 __all__ = ["configure_logs"]
 
 _FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
-_STATIC = {"cell": "cell", "host": "host_name", "zone": "availability_zone"}
+_SETTINGS_BY_FIELD = {"cell": "cell", "host": "host_name", "zone": "availability_zone"}
 
 
 class _FieldFilter(logging.Filter):
@@ -22,26 +22,27 @@
         if context.is_valid:
             record.trace_id = format(context.trace_id, "032x")
         for name, value in current_fields().items():
-            # What the line itself names goes before what surrounds it.
+            # A field of the line itself takes precedence over the context's.
             if not hasattr(record, name):
                 setattr(record, name, value)
         return True
 
 
 def configure_logs(settings, program, stream=None):
-    """Send JSON lines to standard error.
+    """Configure the package's loggers to write JSON lines.
 
     Parameters
     ----------
     settings : Settings
     program : str
-        Written on each line.
+        Name of the program, written on each line.
     stream : file, optional
+        Standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     static = {
         name: getattr(settings, setting)
-        for name, setting in _STATIC.items()
+        for name, setting in _SETTINGS_BY_FIELD.items()
         if hasattr(settings, setting)
     }
     handler.setFormatter(
--- a/papayapick/observability/logs.py
+++ b/papayapick/observability/logs.py
@@ -1,4 +1,4 @@
-"""Name the loggers of the package."""
+"""Return the loggers of the package."""
 
 import logging
 
@@ -8,7 +8,7 @@
 def get_logger(name):
     """Return the logger of a module, below ``papayapick``.
 
-    Apart from what writes the lines: that loads the tracing library, which costs an
-    entry host 26 of the 177 ms of its imports and is not used there.
+    This module is separate from ``log_setup``, which imports the tracing library: that
+    would take 26 of the 177 ms of an entry host's imports, and it is not used there.
     """
     return logging.getLogger(name)
--- a/papayapick/observability/metrics.py
+++ b/papayapick/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Count and time what the promises need watched."""
+"""Define the metrics of a gateway or a placer."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -15,10 +15,10 @@
 
 
 class Metrics:
-    """Hold the metrics of one process in a registry of its own.
+    """Hold the metrics of one process in a separate registry.
 
-    Label values are bounded: services and outcomes come from the bundle and
-    from fixed sets, never from callers.
+    Label values are bounded: they come from the bundle, as names of services do, or
+    from fixed sets, as outcomes do, and never from callers.
     """
 
     __slots__ = (
@@ -35,7 +35,7 @@
 
     def __init__(self):
         self._registry = CollectorRegistry()
-        # Memory and processor time of the process itself have limits too.
+        # The process's memory and processor time have limits too.
         ProcessCollector(registry=self._registry)
         self.requests = self._counter(
             "papayapick_requests", "Requests answered", ("service", "outcome")
@@ -76,7 +76,7 @@
         return Counter(name, text, labels, registry=self._registry)
 
     def text(self):
-        """Return the Prometheus text format, as bytes."""
+        """Return all metrics in the Prometheus text format, as bytes."""
         return generate_latest(self._registry)
 
     def describe(self):
@@ -86,9 +86,9 @@
         -------
         list of tuple
         """
-        return sorted(self._described(name) for name in self.__slots__[1:])
+        return sorted(self._describe_metric(name) for name in self.__slots__[1:])
 
-    def _described(self, attribute):
+    def _describe_metric(self, attribute):
         metric = getattr(self, attribute)
         (family,) = metric.describe()
         suffix = "_total" if family.type == "counter" else ""
--- a/papayapick/observability/queries.py
+++ b/papayapick/observability/queries.py
@@ -1,4 +1,4 @@
-"""Describe the metrics and the events."""
+"""Write the reference pages of metrics and events as Markdown."""
 
 import importlib
 import logging
@@ -8,16 +8,16 @@
 
 __all__ = ["events_page", "metrics_page"]
 
-# They define the metrics and the events of an entry host.
+# Importing these modules defines the metrics and the events of an entry host.
 for _module in ("entry.metrics", "pool.metrics", "entry.events", "pool.events"):
     importlib.import_module(f"papayapick.{_module}")
 
-_PAGE_HEAD = """# Metrics
+_METRICS_HEAD = """# Metrics
 
 Each gateway and placer answers `GET /metrics` on its HTTP address in the
 Prometheus text format. Label values are bounded: they come from the bundle,
 from the list of error codes and from fixed sets, never from a caller's text.
-What to watch, and what to do: [alerts](../howto/alerts.md).
+What to watch for, and what to do then: [alerts](../howto/alerts.md).
 
 This page is written from `papayapick/observability/metrics.py` by
 `python -m papayapick.observability.reference > docs/ref/metrics.md`.
@@ -26,21 +26,22 @@
 | --- | --- | --- | --- |
 """
 
-_ENTRY_HEAD = """
+_ENTRY_METRICS_HEAD = """
 An entry host (`papayapick-entry --metrics-port=PORT`) answers `GET /metrics` on its own
-address. Queues are named as the operator named them, and only while jobs wait in them.
+address. Queues have the names that the operator gave them, and are listed only while
+jobs wait in them.
 
 A collector may keep no more than the first 4,000 bytes of a page, and cut it off in the
-middle of a line. So the rows below are in the order of the page, and what tells an
-incident from a quiet day comes first: whether the host owns pools, has heard the store
-and goes by the newest configuration; then what became of an owner's orders (ends,
-renewals, starts) and its takeovers; then refusals and lines that are missing. Their
-labels have a few fixed values, so that all of these fit in, also where each value
-occurs, together with the ten longest backlogs. Queues with jobs that wait come longest
-backlog first, since an operator may name hundreds. Answers by method and status, the
-process's own `process_` series and, last, the histograms follow: they are long, and
-what they tell of single requests stands in the [events](events.md). Metrics without a
-series yet are left out, and so is the moment at which a series began (`_created`).
+middle of a line. So the rows below are in the order of the page, and the metrics that
+reveal an incident come first: whether the host owns pools, reaches the store and has
+the newest configuration; then the results of an owner's orders (ends, renewals, starts)
+and its takeovers; then refusals and dropped log lines. Their labels have a few fixed
+values, so all of these fit, even where each value occurs, together with the ten longest
+backlogs. Queues with waiting jobs are sorted by backlog, longest first, since an
+operator may name hundreds. Answers by method and status, the `process_` series of the
+process itself and, last, the histograms follow: they are long, and details of single
+requests are in the [events](events.md). Metrics without a series yet are omitted, and
+so are the creation times of series (`_created`).
 
 | Metric | Kind | Labels | Meaning |
 | --- | --- | --- | --- |
@@ -49,8 +50,8 @@
 _EVENTS_HEAD = """# Events
 
 An entry host writes one JSON object a line to standard output: `time`, `level`,
-`event`, `host` and `zone`, then the fields of the event. Each event may have so many
-lines a second; `lines left out` counts what was not written. For one request:
+`event`, `host` and `zone`, then the fields of the event. The lines per second of each
+event are limited; `lines left out` counts the dropped ones. To follow one request:
 [operations](../OPERATIONS.md).
 
 This page is written from `events.py` of `papayapick/entry` and `papayapick/pool` by
@@ -66,9 +67,9 @@
     rows = [_row(*found) for found in Metrics().describe()]
     entry_rows = [_row(*found) for found in registry.describe_metrics()]
     return (
-        _PAGE_HEAD
+        _METRICS_HEAD
         + "".join(row + "\n" for row in rows)
-        + _ENTRY_HEAD
+        + _ENTRY_METRICS_HEAD
         + "".join(row + "\n" for row in entry_rows)
     )
 
--- a/papayapick/observability/registry.py
+++ b/papayapick/observability/registry.py
@@ -1,4 +1,4 @@
-"""Hold the metrics of an entry host; each package defines its own."""
+"""Collect the metrics of an entry host, which its packages define."""
 
 import enum
 
@@ -21,111 +21,111 @@
     "metrics_text",
 ]
 
-# The moment at which a series began takes a line for each, and nobody asks for it.
+# The creation times (`_created`) take a line for each series and are not used.
 disable_created_metrics()
 
 
 class PageSection(enum.IntEnum):
-    """Tell where on the page a metric stands; within a place they go by name.
+    """Order the sections of the metrics page; each section is sorted by name.
 
-    Collectors may cut a page off after some 4,000 bytes. So what bounded sets of
-    labels keep short comes before what grows with queues and callers, and histograms
-    come last.
+    Collectors may cut a page off after some 4,000 bytes. So metrics that a bounded set
+    of label values keeps short come before those that grow with queues and callers,
+    and histograms come last.
     """
 
-    # Whether the host decides, and by what.
+    # Whether the host owns pools, and how recent its store and configuration are.
     HOST_STATE = 1
-    # What became of an owner's orders and claims.
+    # Results of an owner's orders and claims.
     OWNER = 2
-    # What callers were refused, and lines that are missing.
+    # Refused requests, and dropped log lines.
     REFUSALS_AND_DROPS = 3
-    # A series for each queue.
+    # One series per queue.
     BACKLOGS = 4
-    # A series for each kind of answer.
+    # One series per method and status.
     RESPONSES = 5
     PROCESS = 6
     HISTOGRAMS = 7
 
 
-class _Page:
-    """Collect all metrics in the order of the page."""
+class _MetricsPage:
+    """Collect all metrics in the order of their sections."""
 
     __slots__ = ("_metrics", "_process", "_registry")
 
     def __init__(self):
         self._registry = CollectorRegistry()
         self._metrics = []
-        # Memory and processor time of the process itself have limits too.
+        # The process's memory and processor time have limits too.
         self._process = ProcessCollector(registry=self._registry)
 
-    def add(self, kind, place, name, text, labels, **options):
-        """Return a new metric of a kind of the library."""
-        metric = kind(name, text, labels, registry=self._registry, **options)
-        self._metrics.append((place, name, metric))
+    def add(self, metric_class, section, name, text, labels, **options):
+        """Return a new metric of a class of prometheus_client."""
+        metric = metric_class(name, text, labels, registry=self._registry, **options)
+        self._metrics.append((section, name, metric))
         return metric
 
-    def in_order(self):
-        """Return the metrics, those of the process left out."""
-        return [metric for _, _, metric in sorted(self._metrics, key=_place_and_name)]
+    def sorted_metrics(self):
+        """Return the metrics in page order, without those of the process."""
+        return [metric for _, _, metric in sorted(self._metrics, key=_section_and_name)]
 
     def collect(self):
-        """Yield what the library writes, without metrics that have no series yet."""
-        places = [*self._metrics, (PageSection.PROCESS, "", self._process)]
-        for place, _, metric in sorted(places, key=_place_and_name):
+        """Yield the metric families in page order, except those without a series."""
+        collectors = [*self._metrics, (PageSection.PROCESS, "", self._process)]
+        for section, _, metric in sorted(collectors, key=_section_and_name):
             for family in metric.collect():
-                if place == PageSection.BACKLOGS:
+                if section == PageSection.BACKLOGS:
                     family.samples.sort(key=_value, reverse=True)
                 if family.samples:
                     yield family
 
 
-def _place_and_name(placed):
-    return placed[:2]
+def _section_and_name(entry):
+    return entry[:2]
 
 
 def _value(sample):
     return sample.value
 
 
-_PAGE = _Page()
-# Seconds. A near call takes 10 ms, one over the link 50 ms; callers wait 3 s at most,
-# and jobs take from one to some thirty seconds.
-_CALL_BUCKETS = (0.02, 0.1, 0.5, 2.0)
+_METRICS_PAGE = _MetricsPage()
+# In seconds. A call within a region takes 10 ms, one over the link between regions
+# 50 ms; callers wait 3 s at most, and jobs take from one to some thirty seconds.
+_REQUEST_BUCKETS = (0.02, 0.1, 0.5, 2.0)
 _JOB_BUCKETS = (0.1, 0.5, 2.0, 10.0, 60.0)
 
 
-def counter(place, name, text, labels=()):
+def counter(section, name, text, labels=()):
     """Return a new counter; ``_total`` is added to its name."""
-    return _PAGE.add(Counter, place, name, text, labels)
+    return _METRICS_PAGE.add(Counter, section, name, text, labels)
 
 
-def gauge(place, name, text, labels=()):
+def gauge(section, name, text, labels=()):
     """Return a new gauge."""
-    return _PAGE.add(Gauge, place, name, text, labels)
+    return _METRICS_PAGE.add(Gauge, section, name, text, labels)
 
 
 def histogram(name, text, labels=(), of_jobs=False):
-    """Return a new histogram of seconds, of calls or of whole jobs."""
-    buckets = _JOB_BUCKETS if of_jobs else _CALL_BUCKETS
-    return _PAGE.add(
+    """Return a new histogram of seconds, of calls or, with ``of_jobs``, of jobs."""
+    buckets = _JOB_BUCKETS if of_jobs else _REQUEST_BUCKETS
+    return _METRICS_PAGE.add(
         Histogram, PageSection.HISTOGRAMS, name, text, labels, buckets=buckets
     )
 
 
 def metrics_text():
     """Return all metrics in the Prometheus text format, as bytes."""
-    return generate_latest(_PAGE)
+    return generate_latest(_METRICS_PAGE)
 
 
 def describe_metrics():
-    """Return name, kind, labels and meaning of each metric, in the page's order.
+    """Return name, kind, labels and help text of each metric, in page order.
 
     Returns
     -------
     list of tuple
     """
     found = []
-    for metric in _PAGE.in_order():
+    for metric in _METRICS_PAGE.sorted_metrics():
         (family,) = metric.describe()
         suffix = "_total" if family.type == "counter" else ""
         labels = tuple(metric._labelnames)
--- a/papayapick/observability/sampling.py
+++ b/papayapick/observability/sampling.py
@@ -1,4 +1,4 @@
-"""Decide which spans are kept."""
+"""Sample spans by trace, and record every span of a failure."""
 
 from opentelemetry.sdk.trace.sampling import (
     Decision,
@@ -14,14 +14,14 @@
 
 
 class FailureSampler(Sampler):
-    """Keep a share of the traces by their id, and every span of a failure.
+    """Sample a share of the traces by their id, and record each span of a failure.
 
-    The caller's own decision, in its ``traceparent``, goes before the share.
+    The caller's sampling decision in ``traceparent`` takes precedence over the ratio.
 
     Parameters
     ----------
     ratio : float
-        Share of the traces that begin here.
+        Sampled share of the traces that begin in this process, from 0 to 1.
     """
 
     def __init__(self, ratio):
@@ -37,7 +37,7 @@
         links=None,
         trace_state=None,
     ):
-        """Return the decision on one span."""
+        """Return the sampling decision for one span."""
         if attributes and attributes.get(FAILED):
             return SamplingResult(Decision.RECORD_AND_SAMPLE, attributes)
         return self._by_trace.should_sample(
--- a/papayapick/observability/timelines.py
+++ b/papayapick/observability/timelines.py
@@ -1,11 +1,11 @@
-"""Put the lines that several hosts wrote about one request in order, and explain it."""
+"""Explain a request from the log lines of several hosts."""
 
 from papayapick.observability.vacancies import read_vacancies
 
 __all__ = ["RequestTimeline"]
 
-# Most telling first: what made a request fail or wait.
-_CAUSES = (
+# Events that explain a failure or a wait, the most specific first.
+_CAUSE_EVENTS = (
     "runs lost with their worker",
     "start unanswered",
     "run ended",
@@ -22,8 +22,8 @@
     "commit put off",
     "store lost",
 )
-# Beside those that name the request, these tell what happened around it.
-_AROUND = (
+# Events that do not name a request but may explain its wait.
+_CONTEXT_EVENTS = (
     "pool taken",
     "pool left",
     "pool settled",
@@ -36,7 +36,7 @@
     "commit put off",
     "worker silent",
 )
-_MILESTONES = (
+_MILESTONE_EVENTS = (
     "job accepted",
     "job taken in",
     "step placed",
@@ -44,27 +44,28 @@
     "cancel stored",
     "job ended",
 )
-_REFUSED = "request refused"
-_ACCEPTED = ("job accepted", "job known already")
-# The line of the first placement may have been left out.
-_PLACED = ("step placed", "run ended", "job ended")
+_REFUSED_EVENT = "request refused"
+_ACCEPTED_EVENTS = ("job accepted", "job known already")
+# Events that show that a request was placed; the line of its first placement may have
+# been dropped.
+_PLACED_EVENTS = ("step placed", "run ended", "job ended")
 
 
 class RequestTimeline:
-    """Hold what the logs say of one request.
+    """Hold the log lines that concern one request.
 
     Parameters
     ----------
     request_id : str
     lines : list of Line
-        In order.
+        Of all requests, in the order of their times.
 
     Attributes
     ----------
     request_lines : list of Line
-        Those that name the request.
+        The lines that name the request.
     pool : str or None
-        None where no line tells it.
+        None if no line names it.
     """
 
     __slots__ = ("_lines", "request_lines", "pool", "request_id")
@@ -73,42 +74,44 @@
         self.request_id = request_id
         self._lines = lines
         self.request_lines = [line for line in lines if line.mentions(request_id)]
-        named = (line.fields.get("pool") for line in self.request_lines)
-        self.pool = next(filter(None, named), None)
+        pools = (line.fields.get("pool") for line in self.request_lines)
+        self.pool = next(filter(None, pools), None)
 
     @property
     def status(self):
-        """Return what became of the request, as far as the logs tell."""
+        """Return the status of the request as far as the logs show it."""
         ended = self._last("job ended")
         if ended is not None:
             return ended.fields["status"]
-        if any(line.event in _ACCEPTED for line in self.request_lines):
+        if any(line.event in _ACCEPTED_EVENTS for line in self.request_lines):
             return "accepted"
-        return "refused" if self._last(_REFUSED) is not None else "unknown"
+        return "refused" if self._last(_REFUSED_EVENT) is not None else "unknown"
 
     @property
-    def _placed(self):
-        found = [line for line in self.request_lines if line.event in _PLACED]
+    def _first_placed(self):
+        found = [line for line in self.request_lines if line.event in _PLACED_EVENTS]
         return found[0] if found else None
 
     @property
     def _is_unplaced(self):
-        return self.status == "accepted" and self._placed is None
+        return self.status == "accepted" and self._first_placed is None
 
     def vacancies(self):
-        """Return when its pool had no working owner before it was first placed.
+        """Return the times before its first placement without a working owner.
 
         Returns
         -------
         list of Vacancy
-            Their parts after its acceptance; none where no line tells of any.
+            Of the request's pool, from its acceptance on; empty if the logs show none.
         """
-        accepted = [line for line in self.request_lines if line.event in _ACCEPTED]
+        accepted = [
+            line for line in self.request_lines if line.event in _ACCEPTED_EVENTS
+        ]
         if self.pool is None or not accepted:
             return []
-        end = (self._placed or self._lines[-1]).seconds
-        # Whoever placed it was an owner at work: a vacancy that would last beyond its
-        # placement was suspected wrongly.
+        end = (self._first_placed or self._lines[-1]).seconds
+        # The placement shows that an owner was working, so a vacancy that lasts beyond
+        # it was a false suspicion.
         parts = [
             vacancy.within(accepted[0].seconds, end)
             for vacancy in read_vacancies(self._lines, self.pool)
@@ -117,13 +120,13 @@
         return [part for part in parts if part is not None]
 
     def context_lines(self):
-        """Return the lines that tell of its surroundings.
+        """Return the lines on owners and store during the request.
 
         Returns
         -------
         list of Line
-            Between its first and last; of one that was accepted and is not placed,
-            until the end of the logs.
+            Between its first and its last line, or until the end of the logs if it
+            was accepted and is not placed.
         """
         if not self.request_lines:
             return []
@@ -136,28 +139,29 @@
         return [
             line
             for line in self._lines
-            if line.event in _AROUND
+            if line.event in _CONTEXT_EVENTS
             and first <= line.seconds <= last
             and not line.mentions(self.request_id)
             and not self._is_of_another_pool(line)
         ]
 
     def deciding(self):
-        """Return the line that decided the outcome or the longest wait, or None.
+        """Return the line that decided the outcome or explains the longest wait.
 
         Returns
         -------
         Line or None
-            Of a refused request its last refusal; of a failed job the failure that
-            reached the limit; of a cancelled one its cancellation. Of any other job
-            the most telling line within the longest time between two of its steps,
-            or from the last one to the end of the logs while it is not placed.
+            The last refusal of a refused request, the failure that reached the limit
+            of a failed job, or the cancellation of a cancelled one. For any other job,
+            the line of the most specific cause within the longest time between two of
+            its milestones, or from the last one to the end of the logs while it is not
+            placed. None if no line names the request.
         """
         if not self.request_lines:
             return None
         status = self.status
         if status == "refused":
-            return self._last(_REFUSED)
+            return self._last(_REFUSED_EVENT)
         if status == "failed":
             return self._last_failure() or self.request_lines[-1]
         if status == "cancelled":
@@ -165,8 +169,8 @@
         return self._cause_of_longest_wait()
 
     def _is_of_another_pool(self, line):
-        named = line.fields.get("pool")
-        return None not in (named, self.pool) and named != self.pool
+        pool = line.fields.get("pool")
+        return None not in (pool, self.pool) and pool != self.pool
 
     def _last(self, event):
         found = [line for line in self.request_lines if line.event == event]
@@ -178,22 +182,24 @@
             for line in self.request_lines
             if line.event == "run ended" and line.fields.get("outcome") == "failed"
         ]
-        # Others of its tasks may fail after the one that decided.
+        # Other tasks may fail after the one that reached the limit.
         for line in failures:
             if line.fields["failures"] >= line.fields["failure_limit"]:
                 return line
         return failures[-1] if failures else None
 
     def _cause_of_longest_wait(self):
-        stages = [line for line in self.request_lines if line.event in _MILESTONES]
+        milestones = [
+            line for line in self.request_lines if line.event in _MILESTONE_EVENTS
+        ]
         if self._is_unplaced:
-            # It waits on after its last line.
-            stages.append(self._lines[-1])
-        if len(stages) < 2:
+            # It still waits at the end of the logs.
+            milestones.append(self._lines[-1])
+        if len(milestones) < 2:
             return self.request_lines[-1]
         waits = [
             (after.seconds - before.seconds, before, after)
-            for before, after in zip(stages, stages[1:], strict=False)
+            for before, after in zip(milestones, milestones[1:], strict=False)
         ]
         _, before, after = max(waits, key=lambda wait: wait[0])
         within = [
@@ -201,7 +207,7 @@
             for line in [*self.request_lines, *self.context_lines()]
             if before.seconds <= line.seconds <= after.seconds
         ]
-        for event in _CAUSES:
+        for event in _CAUSE_EVENTS:
             for line in within:
                 if line.event == event:
                     return line
--- a/papayapick/observability/traces.py
+++ b/papayapick/observability/traces.py
@@ -1,4 +1,4 @@
-"""Open a span for each hop under the caller's trace."""
+"""Open a span for each hop of a request under the caller's trace."""
 
 import json
 import sys
@@ -24,7 +24,7 @@
 
 _HEADER = "traceparent"
 _PROPAGATOR = TraceContextTextMapPropagator()
-_EXPORT_SECONDS = 2
+_EXPORT_TIMEOUT_SECONDS = 2
 _REFUSALS_PER_SECOND = 50
 _NOT_RUN = "not_run"
 _ERROR_TYPE = "error.type"
@@ -51,11 +51,11 @@
         return SpanExportResult.SUCCESS
 
     def shutdown(self):
-        """Hold nothing back."""
+        """Do nothing: spans are written as they end."""
 
 
 class Hop:
-    """Hold one span as a context manager; a failure in it is always kept.
+    """Wrap one span as a context manager that keeps every failure.
 
     Parameters
     ----------
@@ -64,14 +64,14 @@
     context : opentelemetry.context.Context or None
     """
 
-    __slots__ = ("_began", "_error", "_manager", "_name", "_span", "_tracing")
+    __slots__ = ("_started_at", "_error", "_manager", "_name", "_span", "_tracing")
 
     def __init__(self, tracing, name, context):
         self._tracing = tracing
         self._name = name
         self._error = None
         self._span = None
-        self._began = tracing.now()
+        self._started_at = tracing.now()
         self._manager = tracing.open(name, context)
 
     def __enter__(self):
@@ -81,19 +81,23 @@
     def __exit__(self, kind, error, traceback):
         if error is not None:
             self.fail(getattr(error, "code", kind.__name__), _outcome_of(error))
-        # Once it has ended a span no longer says whether it was recorded.
+        # Read first: is_recording is false for every span that has ended.
         is_recorded = self._span.is_recording()
         if self._error is not None and is_recorded:
             self._span.set_attributes(self._attributes())
-        # The error itself stays out: its text may hold what a caller sent.
+        # The span gets no exception: its text may hold data of the caller.
         self._manager.__exit__(None, None, None)
         if self._error is not None and not is_recorded:
-            self._tracing.keep_failure(
-                self._name, self._began, self._span, self._error, self._attributes()
+            self._tracing.record_failure(
+                self._name,
+                self._started_at,
+                self._span,
+                self._error,
+                self._attributes(),
             )
 
     def fail(self, code, outcome):
-        """Note a failure that does not leave the hop as an exception."""
+        """Record a failure that is not raised as an exception."""
         self._error = (code, outcome)
 
     def _attributes(self):
@@ -102,7 +106,7 @@
 
 
 class Tracing:
-    """Start spans and carry their context between processes.
+    """Start spans and propagate their context between processes.
 
     Parameters
     ----------
@@ -111,19 +115,19 @@
     clock : Clock, optional
     """
 
-    __slots__ = ("_clock", "_provider", "_refusals", "_tracer")
+    __slots__ = ("_clock", "_provider", "_refusal_limit", "_tracer")
 
     def __init__(self, provider, program, clock=None):
         self._provider = provider
         self._tracer = provider.get_tracer(program)
         self._clock = clock or SystemClock()
-        self._refusals = TokenBucket(
+        self._refusal_limit = TokenBucket(
             _REFUSALS_PER_SECOND, _REFUSALS_PER_SECOND, self._clock
         )
 
     @classmethod
     def from_config(cls, settings, program, clock=None):
-        """Build the tracing that the settings ask for."""
+        """Build the tracing from the settings."""
         provider = TracerProvider(
             sampler=FailureSampler(settings.trace_ratio),
             resource=Resource.create({"service.name": program}),
@@ -132,13 +136,13 @@
         if settings.traces == "log":
             provider.add_span_processor(SimpleSpanProcessor(_LineExporter()))
         elif settings.traces == "otlp":
-            # Imported here: the exporter costs memory that others save.
+            # Imported only when used, since the exporter takes memory.
             from opentelemetry.exporter.otlp.proto.http.trace_exporter import (
                 OTLPSpanExporter,
             )
 
             exporter = OTLPSpanExporter(
-                endpoint=settings.trace_endpoint, timeout=_EXPORT_SECONDS
+                endpoint=settings.trace_endpoint, timeout=_EXPORT_TIMEOUT_SECONDS
             )
             provider.add_span_processor(BatchSpanProcessor(exporter))
         return cls(provider, program, clock)
@@ -150,7 +154,8 @@
         ----------
         name : str
         traceparent : str
-            W3C trace context of the hop before; empty for the current span.
+            W3C trace context of the previous hop; if empty, the current span is the
+            parent.
 
         Returns
         -------
@@ -160,26 +165,26 @@
         return Hop(self, name, context)
 
     def now(self):
-        """Return nanoseconds since the epoch."""
+        """Return the Unix time in nanoseconds."""
         return int(self._clock.time() * _NANOSECONDS)
 
     def open(self, name, context):
-        """Return the library's manager of a span."""
+        """Return the OpenTelemetry context manager of a new span."""
         return self._tracer.start_as_current_span(name, context=context)
 
-    def keep_failure(self, name, began, span, error, attributes):
-        """Keep a failure of a trace that is not sampled, under the same trace id.
+    def record_failure(self, name, started_at, span, error, attributes):
+        """Record a failure of a trace that is not sampled, under the same trace id.
 
-        Under overload thousands of refusals a second would each cost a span, so
-        refusals are kept up to a rate; the metrics count them all.
+        Under overload each of thousands of refusals per second would cost a span, so
+        refusals are limited to a rate; the metrics count all of them.
         """
-        if error[1] == _NOT_RUN and self._refusals.take():
+        if error[1] == _NOT_RUN and self._refusal_limit.take():
             return
         context = trace.set_span_in_context(span)
-        kept = self._tracer.start_span(
-            name, context=context, attributes=attributes, start_time=began
+        failed_span = self._tracer.start_span(
+            name, context=context, attributes=attributes, start_time=started_at
         )
-        kept.end(self.now())
+        failed_span.end(self.now())
 
     @staticmethod
     def traceparent():
@@ -195,7 +200,7 @@
         return format(context.trace_id, "032x") if context.is_valid else ""
 
     def close(self):
-        """Send what is left."""
+        """Export the remaining spans and stop."""
         self._provider.shutdown()
 
 
--- a/papayapick/observability/vacancies.py
+++ b/papayapick/observability/vacancies.py
@@ -1,22 +1,22 @@
-"""Tell from logs for how long a pool had no working owner."""
+"""Find in logs the times in which a pool had no working owner."""
 
 __all__ = ["Vacancy", "read_vacancies"]
 
-_BEGINS = ("candidate waits", "owner suspected", "pool left")
-# A new owner takes in the jobs that it reads before it writes that it took the pool.
-_OWNER_WORKS = ("job taken in", "pool taken", "pool settled")
+_BEGIN_EVENTS = ("candidate waits", "owner suspected", "pool left")
+# A new owner logs the jobs that it reads before it logs that it took the pool.
+_OWNER_EVENTS = ("job taken in", "pool taken", "pool settled")
 
 
 class Vacancy:
-    """Hold a span of time in which no owner worked for a pool.
+    """Hold a span of time in which a pool had no working owner.
 
     Parameters
     ----------
     pool : str
     begin, end : float
-        As the seconds of lines.
+        In Unix seconds.
     is_over : bool
-        Whether a host took the pool at its end; else the logs end there.
+        Whether a host took the pool at ``end``; otherwise the logs end there.
     """
 
     __slots__ = ("begin", "end", "is_over", "pool")
@@ -29,11 +29,11 @@
 
     @property
     def seconds(self):
-        """Return its length."""
+        """Return its length in seconds."""
         return self.end - self.begin
 
     def within(self, begin, end):
-        """Return the part between two times, or None where there is none.
+        """Return the part between two times, or None if it is empty.
 
         Returns
         -------
@@ -45,46 +45,46 @@
         return Vacancy(self.pool, begin, own_end, self.is_over)
 
 
-class _Reader:
-    """Follow the lines about the owner of one pool."""
+class _VacancyReader:
+    """Find the vacancies of one pool from its lines, in order."""
 
-    __slots__ = ("_begin", "_epoch", "_pool", "_worked_at", "vacancies")
+    __slots__ = ("_begin", "_epoch", "_pool", "_last_owner_line_at", "vacancies")
 
     def __init__(self, pool):
         self.vacancies = []
         self._pool = pool
-        # Of the vacancy that goes on.
+        # Begin of the open vacancy.
         self._begin = None
         self._epoch = 0
-        self._worked_at = float("-inf")
+        self._last_owner_line_at = float("-inf")
 
-    def take(self, line):
-        """Take in one line of the pool."""
+    def read(self, line):
+        """Process one line of the pool."""
         epoch = line.fields.get("epoch", 0)
         if epoch < self._epoch:
-            # Of a host that has not heard yet who took the pool.
+            # The host that wrote it did not know of the takeover yet.
             return
-        if line.event in _BEGINS:
+        if line.event in _BEGIN_EVENTS:
             self._open(line)
-        elif line.event in _OWNER_WORKS:
+        elif line.event in _OWNER_EVENTS:
             if epoch > self._epoch:
                 self.close(line.seconds, is_over=True)
-            # Else the owner that was missed is at work.
+            # With an unchanged epoch the suspected owner is still working.
             self._begin = None
-            self._worked_at = line.seconds
+            self._last_owner_line_at = line.seconds
         else:
             return
         self._epoch = epoch
 
     def close(self, now, is_over):
-        """End the vacancy that goes on, if there is one."""
+        """End the open vacancy, if any."""
         if self._begin is not None:
             self.vacancies.append(Vacancy(self._pool, self._begin, now, is_over))
             self._begin = None
 
     def _open(self, line):
         silent = line.fields.get("silent_seconds", 0.0)
-        begin = max(line.seconds - silent, self._worked_at)
+        begin = max(line.seconds - silent, self._last_owner_line_at)
         self._begin = begin if self._begin is None else min(begin, self._begin)
 
 
@@ -100,14 +100,15 @@
     Returns
     -------
     list of Vacancy
-        Each from when the first host that writes of it heard no owner any more, or
-        the owner left, until one of a higher epoch works or the logs end. An owner of
-        the same epoch that works afterwards was suspected wrongly.
+        Each begins when the first host that reports it last heard from the owner, or
+        when the owner left, and ends when an owner of a higher epoch works or the logs
+        end. If an owner of the same epoch works afterwards, the suspicion was false
+        and there is no vacancy.
     """
-    reader = _Reader(pool)
+    reader = _VacancyReader(pool)
     for line in lines:
         if line.fields.get("pool") == pool:
-            reader.take(line)
+            reader.read(line)
     if lines:
         reader.close(lines[-1].seconds, is_over=False)
     return reader.vacancies
--- a/papayapick/observability/waits.py
+++ b/papayapick/observability/waits.py
@@ -4,17 +4,17 @@
 
 __all__ = ["Wait", "read_waits", "sum_spans", "sum_waits"]
 
-# Beside the reasons that a waiting step is logged with.
-_TAKING_IN = "owner"
+# Reasons in addition to those in the lines ``step waits``.
+_OWNER = "owner"
 _BRIEF = "brief"
 _ROOM = "room"
 _UNKNOWN_QUEUE = "unknown"
-_WAITING = ("step waits", "step placed")
-_OF_OWNERS = ("job taken in", *_WAITING, "run ended", "job ended")
+_WAITING_EVENTS = ("step waits", "step placed")
+_OWNER_EVENTS = ("job taken in", *_WAITING_EVENTS, "run ended", "job ended")
 
 
 class Wait:
-    """Hold a span of time in which a step waited for one thing.
+    """Hold a span of time in which a step waited for one reason.
 
     Parameters
     ----------
@@ -22,10 +22,10 @@
     step : tuple of (str, int, int)
         Request id, occurrence and number.
     reason : str
-        Of the line ``step waits``; ``owner`` from acceptance until an owner took the
-        job in, ``brief`` for a wait that was too short to be logged by itself.
+        As in the line ``step waits``; ``owner`` from acceptance until an owner read the
+        job, ``brief`` for a wait that was too short to be logged.
     begin, end : float
-        As the seconds of lines.
+        In Unix seconds.
     """
 
     __slots__ = ("begin", "end", "queue", "reason", "step")
@@ -38,15 +38,15 @@
         self.end = end
 
 
-class _Reader:
-    """Follow the lines about each step."""
+class _WaitReader:
+    """Find the waits of each step from the lines, in order."""
 
     __slots__ = (
-        "_accepted",
-        "_ended",
-        "_looked_at",
-        "_open",
-        "_owned",
+        "_accepted_at",
+        "_ended_at",
+        "_not_waiting_before",
+        "_open_waits",
+        "_first_owned_at",
         "_queues",
         "reversals",
         "waits",
@@ -54,20 +54,21 @@
 
     def __init__(self):
         self.waits = []
-        # Seconds by which lines stand in reverse order, by request.
+        # Seconds by which lines are in reverse order, by request.
         self.reversals = {}
-        self._accepted = {}
-        # When an owner first wrote of a job, and when one wrote that it ended.
-        self._owned = {}
-        self._ended = {}
+        self._accepted_at = {}
+        # By request: when an owner first logged it, and when one logged its end.
+        self._first_owned_at = {}
+        self._ended_at = {}
         self._queues = {}
-        # Reason and begin of the wait that goes on, by step.
-        self._open = {}
-        # When a step was last placed, or a run of it ended: it was not waiting before.
-        self._looked_at = {}
-
-    def take(self, line):
-        """Take in one line."""
+        # Reason and begin of the current wait, by step.
+        self._open_waits = {}
+        # By step: when it was last placed, or a run of it ended. It was not waiting
+        # before that time.
+        self._not_waiting_before = {}
+
+    def read(self, line):
+        """Process one line."""
         now = line.seconds
         fields = line.fields
         request = fields.get("request_id")
@@ -75,83 +76,83 @@
         if line.event == "job accepted":
             self._accept(request, now)
             return
-        if line.event in _OF_OWNERS:
-            self._owned.setdefault(request, now)
+        if line.event in _OWNER_EVENTS:
+            self._first_owned_at.setdefault(request, now)
         if line.event == "job taken in":
-            self._take_in(request, fields["queue"], now)
+            self._start_ownership(request, fields["queue"], now)
         elif line.event == "run ended":
-            self._looked_at[step] = now
+            self._not_waiting_before[step] = now
         elif line.event == "job ended":
             self._end_job(request, now)
-        elif line.event in _WAITING and request in self._ended:
-            # It would wait until the end of the logs.
-            self._note_reversal(request, now - self._ended[request])
+        elif line.event in _WAITING_EVENTS and request in self._ended_at:
+            # A new wait would stay open until the end of the logs.
+            self._record_reversal(request, now - self._ended_at[request])
         elif line.event == "step waits":
-            self._accepted.pop(request, None)
-            self._change(step, fields["reason"], fields["waited_seconds"], now)
+            self._accepted_at.pop(request, None)
+            self._change_reason(step, fields["reason"], fields["waited_seconds"], now)
         elif line.event == "step placed":
             self._place(step, fields, now)
 
     def end(self, now):
-        """Close what still waits at the end of the logs."""
-        for step in list(self._open):
+        """End all open waits at the end of the logs."""
+        for step in list(self._open_waits):
             self._close(step, now)
 
     def _accept(self, request, now):
-        if request in self._owned:
-            self._note_reversal(request, now - self._owned[request])
+        if request in self._first_owned_at:
+            self._record_reversal(request, now - self._first_owned_at[request])
         else:
-            self._accepted[request] = now
+            self._accepted_at[request] = now
 
-    def _take_in(self, request, queue, now):
+    def _start_ownership(self, request, queue, now):
         self._queues[request] = queue
-        if request in self._accepted:
-            self._add((request, 0, 0), _TAKING_IN, self._accepted.pop(request), now)
+        if request in self._accepted_at:
+            self._add_wait((request, 0, 0), _OWNER, self._accepted_at.pop(request), now)
 
-    def _note_reversal(self, request, seconds):
+    def _record_reversal(self, request, seconds):
         if seconds > 0:
             self.reversals[request] = max(seconds, self.reversals.get(request, 0.0))
 
-    def _change(self, step, reason, waited, now):
-        if step in self._open:
+    def _change_reason(self, step, reason, waited, now):
+        if step in self._open_waits:
             self._close(step, now)
-            self._open[step] = (reason, now)
+            self._open_waits[step] = (reason, now)
         else:
-            self._open[step] = (reason, self._begin(step, waited, now))
+            self._open_waits[step] = (reason, self._begin(step, waited, now))
 
     def _place(self, step, fields, now):
-        # The line that an owner took it in may have been left out: too many came.
-        self._accepted.pop(step[0], None)
-        if step in self._open:
+        # The line ``job taken in`` may have been dropped, as over the limit per second.
+        self._accepted_at.pop(step[0], None)
+        if step in self._open_waits:
             self._close(step, now)
         else:
             begin = self._begin(step, fields["waited_seconds"], now)
-            self._add(step, _BRIEF, begin, now)
-        self._looked_at[step] = now
+            self._add_wait(step, _BRIEF, begin, now)
+        self._not_waiting_before[step] = now
         if fields["left"]:
-            self._open[step] = (_ROOM, now)
+            self._open_waits[step] = (_ROOM, now)
 
     def _end_job(self, request, now):
-        self._ended.setdefault(request, now)
-        for step in [step for step in self._open if step[0] == request]:
+        self._ended_at.setdefault(request, now)
+        for step in [step for step in self._open_waits if step[0] == request]:
             self._close(step, now)
 
     def _begin(self, step, waited, now):
-        """Return since when a step waits; lines count from when it became ready."""
-        return max(now - waited, self._looked_at.get(step, float("-inf")))
+        """Return when a wait began; ``waited`` counts since the step became ready."""
+        return max(now - waited, self._not_waiting_before.get(step, float("-inf")))
 
     def _close(self, step, now):
-        reason, begin = self._open.pop(step)
-        self._add(step, reason, begin, now)
+        reason, begin = self._open_waits.pop(step)
+        self._add_wait(step, reason, begin, now)
 
-    def _add(self, step, reason, begin, end):
+    def _add_wait(self, step, reason, begin, end):
         if end > begin:
             queue = self._queues.get(step[0], _UNKNOWN_QUEUE)
             self.waits.append(Wait(queue, step, reason, begin, end))
 
 
 def read_waits(lines):
-    """Return the waits that lines tell of.
+    """Return the waits that the lines show.
 
     Parameters
     ----------
@@ -162,13 +163,13 @@
     -------
     waits : list of Wait
     reversals : dict of str to float
-        Seconds by which lines of a request stand in reverse order, such as taken in
-        before it was accepted: clocks of hosts differ, or a line was written late.
-        What lies between them is no wait.
+        Seconds by which lines of a request are in reverse order, such as taken in
+        before accepted, since clocks of hosts differ or a line was written late. The
+        time between them is not counted as a wait.
     """
-    reader = _Reader()
+    reader = _WaitReader()
     for line in lines:
-        reader.take(line)
+        reader.read(line)
     if lines:
         reader.end(lines[-1].seconds)
     return reader.waits, reader.reversals
@@ -181,12 +182,12 @@
     ----------
     waits : list of Wait
     begin, end : float, optional
-        As the seconds of lines.
+        In Unix seconds.
 
     Returns
     -------
     dict of (str, str) to (float, int)
-        Seconds, and how many steps waited.
+        Seconds, and the number of steps that waited.
 
     Examples
     --------
@@ -204,7 +205,7 @@
 
 
 def sum_spans(waits, every):
-    """Yield the sums of each span in which a step waited.
+    """Yield the sums of each time span in which a step waited.
 
     Parameters
     ----------
@@ -215,20 +216,20 @@
     Yields
     ------
     (float, dict)
-        Begin of the span, and its sums as of `sum_waits`.
+        Begin of the span in Unix seconds, and its sums as returned by `sum_waits`.
 
     Examples
     --------
     >>> list(sum_spans([Wait("q", ("a", 0, 0), "room", 1.0, 2.5)], 2))
     [(0.0, {('q', 'room'): (1.0, 1)}), (2.0, {('q', 'room'): (0.5, 1)})]
     """
-    later = sorted(waits, key=lambda wait: wait.begin, reverse=True)
+    remaining = sorted(waits, key=lambda wait: wait.begin, reverse=True)
     current = []
     end = float("-inf")
-    while later or current:
-        begin = end if current else later[-1].begin // every * every
+    while remaining or current:
+        begin = end if current else remaining[-1].begin // every * every
         end = begin + every
-        while later and later[-1].begin < end:
-            current.append(later.pop())
+        while remaining and remaining[-1].begin < end:
+            current.append(remaining.pop())
         yield begin, sum_waits(current, begin, end)
         current = [wait for wait in current if wait.end > end]
--- a/tests/observability/test_events.py
+++ b/tests/observability/test_events.py
@@ -1,4 +1,4 @@
-"""Events are typed, bounded in volume, and never hold up whoever decides."""
+"""Events are typed, bounded in volume, and never block the thread that decides."""
 
 import ast
 import io
@@ -15,7 +15,7 @@
 from papayapick.observability.logs import get_logger
 from papayapick.observability.queries import events_page
 
-SEEN = Event("seen in a test", "number text", "Only here.", per_second=3)
+SAMPLE = Event("seen in a test", "number text", "Only here.", per_second=3)
 SOURCES = [
     path
     for package in ("entry", "pool")
@@ -29,7 +29,7 @@
 
 
 @pytest.fixture(autouse=True)
-def logging_as_before():
+def restored_logging():
     root = logging.getLogger("papayapick")
     before = root.handlers, root.level, root.propagate
     yield
@@ -49,7 +49,7 @@
 def test_line_has_its_fields_and_those_of_the_process(clock):
     stream = io.StringIO()
     log = open_log(clock, stream)
-    SEEN.write(number=3, text="x")
+    SAMPLE.write(number=3, text="x")
     log.close()
     (line,) = lines_of(stream)
     assert line.pop("time")
@@ -68,37 +68,37 @@
     try:
         raise ValueError("of the test")
     except ValueError:
-        SEEN.write_failure(number=1)
+        SAMPLE.write_failure(number=1)
     log.close()
     assert "ValueError: of the test" in lines_of(stream)[0]["exc_info"]
 
 
-def test_line_under_the_level_is_not_written(clock):
+def test_line_below_the_level_is_not_written(clock):
     stream = io.StringIO()
     log = open_log(clock, stream, level="WARNING")
-    SEEN.write(number=3)
+    SAMPLE.write(number=3)
     log.close()
     assert lines_of(stream) == []
 
 
-def test_burst_is_cut_off_and_counted(clock):
-    # A burst refuses thousands of callers in a second; a line for each would cost
-    # the processor time that is needed to serve the others.
+def test_lines_over_the_limit_are_dropped_and_counted(clock):
+    # In a burst thousands of requests per second are refused. A line for each would
+    # take processor time from the requests that are served.
     stream = io.StringIO()
     log = open_log(clock, stream)
     for number in range(10):
-        SEEN.write(number=number)
+        SAMPLE.write(number=number)
     log.report_dropped_lines()
     clock.advance(1.0)
-    SEEN.write(number=10)
+    SAMPLE.write(number=10)
     log.close()
-    found = [line for line in lines_of(stream) if line["event"] == SEEN.name]
+    found = [line for line in lines_of(stream) if line["event"] == SAMPLE.name]
     assert [line["number"] for line in found] == [0, 1, 2, 10]
-    (told,) = [line for line in lines_of(stream) if line["event"] == "lines left out"]
-    assert (told["of"], told["count"]) == (SEEN.name, 7)
+    (report,) = [line for line in lines_of(stream) if line["event"] == "lines left out"]
+    assert (report["of"], report["count"]) == (SAMPLE.name, 7)
 
 
-def test_lines_of_other_packages_are_bounded_too(clock):
+def test_lines_of_other_packages_are_limited(clock):
     stream = io.StringIO()
     log = open_log(clock, stream)
     for number in range(200):
@@ -108,34 +108,34 @@
     assert len(found) == 30
 
 
-def read_all(reading):
-    # Else the stream would wait for its reader when it is closed at last.
-    while os.read(reading, 1 << 16):
+def read_all(read_end):
+    # Without a reader, closing the stream would block.
+    while os.read(read_end, 1 << 16):
         pass
 
 
-def test_reader_that_has_stopped_holds_up_nobody(clock):
-    # The collector of the logs hangs: the pipe of standard output fills, and each
-    # write into it waits for ever. The process must go on deciding, and end when it
-    # is told to; lines are lost instead, and counted.
-    reading, writing = os.pipe()
-    stream = os.fdopen(writing, "w", buffering=1)
+def test_stalled_reader_blocks_no_decision(clock):
+    # When the collector of the logs hangs, the pipe of standard output fills and each
+    # write blocks forever. The process must still decide, and end when it is stopped;
+    # lines are dropped and counted instead.
+    read_end, write_end = os.pipe()
+    stream = os.fdopen(write_end, "w", buffering=1)
     log = open_log(clock, stream)
     done = threading.Event()
 
     def decide():
         for number in range(20_000):
             clock.advance(0.5)
-            SEEN.write(number=number, text="x" * 100)
+            SAMPLE.write(number=number, text="x" * 100)
         log.close()
         done.set()
 
     threading.Thread(target=decide, daemon=True).start()
     is_done = done.wait(30.0)
-    left_out = log._left_out.take()
-    threading.Thread(target=read_all, args=(reading,), daemon=True).start()
+    dropped = log._dropped.pop_counts()
+    threading.Thread(target=read_all, args=(read_end,), daemon=True).start()
     assert is_done
-    assert left_out[SEEN.name] > 10_000
+    assert dropped[SAMPLE.name] > 10_000
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: path.stem)
@@ -174,9 +174,9 @@
 def test_reference_page_is_in_step():
     page = ROOT.joinpath("docs", "ref", "events.md").read_text()
     expected = events_page().splitlines()
-    assert page.splitlines() == [line for line in expected if SEEN.name not in line]
+    assert page.splitlines() == [line for line in expected if SAMPLE.name not in line]
 
 
 def test_names_are_unique():
-    with pytest.raises(ValueError, match="there already"):
+    with pytest.raises(ValueError, match="defined already"):
         Event(next(iter(EVENTS)), "", "Twice.")
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines name request, trace, shard, epoch and bundle, and no secret."""
+"""Log lines name request, trace, shard, epoch and bundle, and show no secret."""
 
 import base64
 import io
@@ -34,7 +34,7 @@
     root.handlers, root.level, root.propagate = before
 
 
-def test_line_carries_what_surrounds_it(lines):
+def test_line_has_the_fields_of_its_context(lines):
     with log_fields(request_id="r1", shard="a.0"):
         note_fields(epoch=4)
         get_logger("papayapick.x").info("hello", extra={"shard": "b.0"})
@@ -49,7 +49,7 @@
     ("kept", "statuses"),
     [("all", [200, 404, 503]), ("failures", [404, 503]), ("none", [])],
 )
-def test_access_log_keeps_what_is_asked_for(lines, kept, statuses):
+def test_access_log_writes_the_selected_requests(lines, kept, statuses):
     access = AccessLog(kept, ManualClock())
     for status in (200, 404, 503):
         access.write(access.start(), "GET", "/" + "x" * 999, status, "done")
@@ -57,33 +57,33 @@
     assert all(len(line["path"]) <= 128 for line in lines())
 
 
-def _wait_for_own_zone(cell, gateway):
-    # At the start the first placer that is up may own the shards of other zones too,
-    # and a request goes to the nearest shard that is served: on a busy machine one in
-    # six first requests went to another zone's.
-    def is_near():
+def _wait_for_local_shard(cell, gateway):
+    # After the start the first running placer may own the shards of other zones too,
+    # and a request goes to the nearest served shard: on a busy machine one in six first
+    # requests went to a shard of another zone.
+    def is_served_locally():
         body = {"service": "quick-counts", "payload": {}}
         answer = http_call(gateway.addresses["http"], "POST", PATH, body)
-        wanted = answer[1]["Request-Id"]
-        lines = [one for one in gateway.lines() if one.get("request_id") == wanted]
+        request_id = answer[1]["Request-Id"]
+        lines = [one for one in gateway.lines() if one.get("request_id") == request_id]
         return any(line.get("shard", "").startswith("hobart-a.") for line in lines)
 
-    cell.wait_until(is_near, "requests go to another zone")
+    cell.wait_until(is_served_locally, "requests go to another zone")
 
 
 def test_each_request_has_a_line_with_ids(footfall):
     gateway = footfall.gateways[0]
-    _wait_for_own_zone(footfall, gateway)
+    _wait_for_local_shard(footfall, gateway)
     body = {"service": "quick-counts", "payload": {"secret-of-caller": 1}}
     headers = {"traceparent": TRACE, "Caller": "arcade-managers"}
     answer = http_call(gateway.addresses["http"], "POST", PATH, body, headers)
     request_id = answer[1]["Request-Id"]
 
-    def found():
+    def access_lines():
         return [one for one in gateway.lines() if one.get("request_id") == request_id]
 
-    footfall.wait_until(found, "no access line")
-    (line,) = found()
+    footfall.wait_until(access_lines, "no access line")
+    (line,) = access_lines()
     assert (line["status"], line["outcome"]) == (200, "done")
     assert line["trace_id"] == answer[1]["Trace-Id"] == "ab" * 16
     assert line["bundle_sequence"] >= 1
@@ -93,13 +93,13 @@
     assert "secret-of-caller" not in gateway.log.read_text()
 
 
-def test_no_log_help_or_error_shows_a_key(footfall):
+def test_no_log_or_command_output_shows_a_key(footfall):
     folder = Path(footfall.folder.name)
     secrets = [folder.joinpath("cell.key").read_text().strip()]
     secrets.append(base64.b64decode(secrets[0]).hex())
     for name in ("ana", "ben"):
         secrets.append(folder.joinpath(f"{name}.pem").read_text().splitlines()[1])
-    shown = [daemon.log.read_text() for daemon in footfall.daemons.values()]
+    outputs = [daemon.log.read_text() for daemon in footfall.daemons.values()]
     for arguments in (
         ["cell", "status"],
         ["check", "--deploy"],
@@ -108,6 +108,6 @@
         ["key", "cell", f"{folder}/cell.key"],
         ["key", "operator", "ana", f"{folder}/ana.pem"],
     ):
-        found = footfall.command(*arguments, check=False)
-        shown += [found.stdout, found.stderr]
-    assert not [text for text in shown for secret in secrets if secret in text]
+        result = footfall.command(*arguments, check=False)
+        outputs += [result.stdout, result.stderr]
+    assert not [text for text in outputs for secret in secrets if secret in text]
--- a/tests/observability/test_registry.py
+++ b/tests/observability/test_registry.py
@@ -1,4 +1,4 @@
-"""What an on-call engineer needs first stands first on an entry host's page."""
+"""The metrics that an on-call engineer needs first lead an entry host's page."""
 
 import re
 
@@ -8,18 +8,18 @@
 from papayapick.entry import exceptions, metrics
 from papayapick.jobs.state import JobStatus
 from papayapick.observability.registry import describe_metrics, metrics_text
-from papayapick.pool import metrics as pool
+from papayapick.pool import metrics as pool_metrics
 from papayapick.pool.reports import EndOutcome, StartOutcome
 
-# Collectors keep so much of a page, in bytes, and cut it anywhere.
-KEPT_BYTES = 4000
+# Collectors may cut a page off after this many bytes, also within a line.
+PAGE_LIMIT_BYTES = 4000
 QUEUES = 45
 LONGEST_BACKLOGS = 10
 METHODS = ("GET", "POST", "DELETE")
 STATUSES = ("200", "400", "404", "410", "429", "503", "504")
 STORE_CALLS = ("read", "transact", "follow")
 STORE_OUTCOMES = ("200", "412", "429", "503", "no-answer", "not-sent")
-FIRST = (
+FIRST_METRICS = (
     "papayapick_pool_owned",
     "papayapick_entry_store_age_seconds",
     "papayapick_entry_configuration_version",
@@ -33,13 +33,13 @@
 )
 
 
-def constants(cls):
+def constant_values(cls):
     return [value for name, value in vars(cls).items() if name.isupper()]
 
 
 @pytest.fixture
 def page():
-    """Return the page of an owner that has seen every value of every label."""
+    """Return the page of an owner with a series for each value of each label."""
     errors = [getattr(exceptions, name) for name in exceptions.__all__]
     for error in errors:
         metrics.REFUSALS.labels(error.code).inc(1234)
@@ -52,26 +52,26 @@
     for outcome in ("answered", "failed"):
         metrics.ADVICE_SECONDS.labels(outcome).observe(0.123)
     for outcome in StartOutcome:
-        pool.STARTS.labels(outcome.value).inc(12345)
-    for outcome in constants(EndOutcome):
-        pool.ENDS.labels(outcome).inc(12345)
+        pool_metrics.STARTS.labels(outcome.value).inc(12345)
+    for outcome in constant_values(EndOutcome):
+        pool_metrics.ENDS.labels(outcome).inc(12345)
     for outcome in ("answered", "refused", "no-answer"):
-        pool.RENEWALS.labels(outcome).inc(123456)
+        pool_metrics.RENEWALS.labels(outcome).inc(123456)
     for status in JobStatus.FINAL:
-        pool.COMPLETION_SECONDS.labels(status).observe(12.3)
+        pool_metrics.COMPLETION_SECONDS.labels(status).observe(12.3)
     for number in range(QUEUES):
-        pool.WAITING_JOBS.labels(f"r-queue{number:02}").set(number + 1)
+        pool_metrics.WAITING_JOBS.labels(f"r-queue{number:02}").set(number + 1)
     yield metrics_text().decode()
     for metric in (
         metrics.REFUSALS,
         metrics.REQUESTS,
         metrics.STORE_SECONDS,
         metrics.ADVICE_SECONDS,
-        pool.STARTS,
-        pool.ENDS,
-        pool.RENEWALS,
-        pool.COMPLETION_SECONDS,
-        pool.WAITING_JOBS,
+        pool_metrics.STARTS,
+        pool_metrics.ENDS,
+        pool_metrics.RENEWALS,
+        pool_metrics.COMPLETION_SECONDS,
+        pool_metrics.WAITING_JOBS,
     ):
         metric.clear()
 
@@ -84,25 +84,25 @@
     ]
 
 
-def name_of(sample):
+def metric_name(sample):
     return re.match(r"\w+", sample)[0]
 
 
-def kept(page):
-    """Return the whole lines of what a collector keeps."""
-    return page[:KEPT_BYTES].rpartition("\n")[0]
+def first_bytes(page):
+    """Return the whole lines within the bytes that a collector keeps."""
+    return page[:PAGE_LIMIT_BYTES].rpartition("\n")[0]
 
 
-@pytest.mark.parametrize("name", FIRST)
-def test_first_things_stand_where_a_page_is_not_cut_off(page, name):
+@pytest.mark.parametrize("name", FIRST_METRICS)
+def test_first_metrics_are_not_cut_off(page, name):
     found = samples(page, name)
     assert found
-    assert samples(kept(page), name) == found
+    assert samples(first_bytes(page), name) == found
 
 
-def test_longest_backlogs_stand_where_a_page_is_not_cut_off(page):
+def test_longest_backlogs_are_not_cut_off(page):
     name = "papayapick_pool_waiting_jobs"
-    counts = [float(line.split()[1]) for line in samples(kept(page), name)]
+    counts = [float(line.split()[1]) for line in samples(first_bytes(page), name)]
     assert counts[:LONGEST_BACKLOGS] == [
         float(QUEUES - number) for number in range(LONGEST_BACKLOGS)
     ]
@@ -115,7 +115,7 @@
     histograms = [
         name for name, kind, _, _ in describe_metrics() if kind == "histogram"
     ]
-    names = [name_of(line) for line in samples(page)]
+    names = [metric_name(line) for line in samples(page)]
     first = min(names.index(name + "_bucket") for name in histograms)
     series = {
         name + end for name in histograms for end in ("_bucket", "_count", "_sum")
@@ -124,14 +124,14 @@
     assert not series & set(names[:first])
 
 
-def test_page_has_all_metrics_and_no_times_of_creation(page):
-    names = {name_of(line) for line in samples(page)}
+def test_page_has_all_metrics_and_no_creation_times(page):
+    names = {metric_name(line) for line in samples(page)}
     assert not {name for name in names if name.endswith("_created")}
     families = {family.name for family in text_string_to_metric_families(page)}
     for name, _, _, _ in describe_metrics():
         assert name.removesuffix("_total") in families
 
 
-def test_metric_without_a_series_takes_no_room():
-    pool.STARTS.clear()
+def test_metric_without_a_series_is_omitted():
+    pool_metrics.STARTS.clear()
     assert "papayapick_pool_starts" not in metrics_text().decode()
--- a/tests/observability/test_traces.py
+++ b/tests/observability/test_traces.py
@@ -1,4 +1,4 @@
-"""Spans are kept by trace id, and always where something failed."""
+"""Spans are sampled by trace id, and always recorded for a failure."""
 
 import http.server
 import threading
@@ -19,7 +19,7 @@
 SAMPLED, UNSAMPLED = (f"00-{TRACE}-{'cd' * 8}-{flag}" for flag in ("01", "00"))
 
 
-def traced(ratio):
+def tracing_to_memory(ratio):
     exporter = InMemorySpanExporter()
     provider = TracerProvider(sampler=FailureSampler(ratio), shutdown_on_exit=False)
     provider.add_span_processor(SimpleSpanProcessor(exporter))
@@ -39,7 +39,7 @@
 ROWS = [
     ("all kept", 1.0, "", None, ["inner", "outer"]),
     ("none kept", 0.0, "", None, []),
-    ("caller keeps", 0.0, SAMPLED, None, ["inner", "outer"]),
+    ("caller samples", 0.0, SAMPLED, None, ["inner", "outer"]),
     ("caller does not", 1.0, UNSAMPLED, None, []),
     ("failure", 0.0, "", BackendFailed(status=500), ["inner", "outer"]),
     ("failure, caller does not", 0.0, UNSAMPLED, KeyError(), ["inner", "outer"]),
@@ -52,8 +52,8 @@
     [row[1:] for row in ROWS],
     ids=[row[0] for row in ROWS],
 )
-def test_spans_are_kept_by_trace_and_by_failure(ratio, traceparent, error, names):
-    tracing, exporter = traced(ratio)
+def test_spans_are_sampled_by_trace_and_by_failure(ratio, traceparent, error, names):
+    tracing, exporter = tracing_to_memory(ratio)
     _run(tracing, traceparent, error)
     spans = exporter.get_finished_spans()
     assert [span.name for span in spans] == names
@@ -64,8 +64,8 @@
     assert not any(span.events for span in spans)
 
 
-def test_failure_that_is_answered_is_kept():
-    tracing, exporter = traced(0.0)
+def test_failure_without_an_exception_is_recorded():
+    tracing, exporter = tracing_to_memory(0.0)
     with tracing.span("gateway.request") as hop:
         hop.fail("call.backend-failed", "failed")
     (span,) = exporter.get_finished_spans()
@@ -73,13 +73,12 @@
     assert span.end_time >= span.start_time
 
 
-def test_refusals_under_overload_are_kept_up_to_a_rate():
+def test_refusals_under_overload_are_recorded_up_to_a_rate():
     """
-    A gateway that sheds load gets slower the more it sheds.
-    Order: thousands of requests a second are refused; each keeps its spans.
-    Cause: a kept span costs more than the refusal itself.
+    Shedding load must not slow a gateway down. Thousands of requests per second may be
+    refused, and recording a span takes more time than the refusal itself.
     """
-    tracing, exporter = traced(0.0)
+    tracing, exporter = tracing_to_memory(0.0)
     for _ in range(500):
         _run(tracing, "", DeadlinePast())
     assert 0 < len(exporter.get_finished_spans()) <= 100
@@ -90,7 +89,7 @@
 
 @contextmanager
 def collector(status=200):
-    """Stand in for a collector of OTLP over HTTP; lists the bodies it got."""
+    """Run a fake OTLP collector over HTTP; yield its URL and the received bodies."""
     bodies = []
 
     class Handler(http.server.BaseHTTPRequestHandler):
@@ -101,7 +100,7 @@
             self.end_headers()
 
         def log_message(self, *ignored):
-            """Stay silent."""
+            """Log nothing."""
 
     server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
     thread = threading.Thread(target=server.serve_forever)
