--- a/papayapick/management/base.py
+++ b/papayapick/management/base.py
@@ -1,4 +1,4 @@
-"""Share what the commands have in common."""
+"""Define the base of all commands."""
 
 import getpass
 import json
@@ -14,7 +14,7 @@
 
 
 class Output:
-    """Write for people, or with ``--json`` for programs.
+    """Write text for people, or JSON lines with ``--json``.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
         self._is_json = is_json
 
     def write(self, text, **values):
-        """Write a line of text, or its values as a JSON line."""
+        """Write the text, or with ``--json`` the values as a JSON line."""
         line = json.dumps(values, sort_keys=True) if self._is_json else text
         self._stream.write(line + "\n")
         self._stream.flush()
@@ -41,7 +41,7 @@
     Parameters
     ----------
     options : dict
-        As docopt gives them.
+        As returned by docopt.
     output : Output
     clock : Clock, optional
     """
@@ -55,7 +55,7 @@
         self.clock = clock or SystemClock()
 
     def handle(self):
-        """Do the work and return the exit code.
+        """Run the command and return its exit code.
 
         Returns
         -------
@@ -68,7 +68,7 @@
         return Settings.from_config(OPERATOR, self.options)
 
     def platform(self, settings):
-        """Return table, object store and live list."""
+        """Return the clients of the table, the object store and the live list."""
         pool = HttpPool(settings.platform_timeout_seconds)
         return (
             Table(settings.table_url, pool),
@@ -98,7 +98,7 @@
 
 
 def write_file(path, data):
-    """Write the bytes of a file.
+    """Write bytes to a file.
 
     Raises
     ------
--- a/papayapick/management/commands/__init__.py
+++ b/papayapick/management/commands/__init__.py
@@ -1,4 +1,4 @@
-"""One module for each command."""
+"""Collect the commands, each of which has a module."""
 
 from papayapick.management.commands.bundle import BundleCommand
 from papayapick.management.commands.cell import CellCommand
@@ -10,7 +10,7 @@
 
 __all__ = ["COMMANDS"]
 
-_ALL = (
+_COMMAND_CLASSES = (
     BundleCommand,
     CellCommand,
     CheckCommand,
@@ -19,4 +19,4 @@
     PoolCommand,
     RequestCommand,
 )
-COMMANDS = {command.name: command for command in _ALL}
+COMMANDS = {command.name: command for command in _COMMAND_CLASSES}
--- a/papayapick/management/commands/bundle.py
+++ b/papayapick/management/commands/bundle.py
@@ -1,4 +1,4 @@
-"""Check, compare, sign, roll and step back bundles."""
+"""Check, compare, sign and roll bundles, and roll back to earlier ones."""
 
 import contextlib
 import json
@@ -32,13 +32,13 @@
 
 __all__ = ["BundleCommand"]
 
-_LOOK_SECONDS = 0.1
-_ANNOUNCE_SECONDS = 1.0
-_LONGEST_WAIT_SECONDS = 3600
+_POLL_SECONDS = 0.1
+_ANNOUNCE_TIMEOUT_SECONDS = 1.0
+_MAX_WAIT_SECONDS = 3600
 
 
 class BundleCommand(Command):
-    """Steer the bundle of a cell."""
+    """Check, sign and roll the bundles of a cell."""
 
     name = "bundle"
     usage = """Check, compare, sign, roll and step back bundles.
@@ -55,20 +55,20 @@
   papayapick bundle --help
 
 Options:
-  --operator=NAME  Name under which you act; default is your login.
+  --operator=NAME  Name of the operator; defaults to your login name.
   --key=FILE       Your private key.
-  --out=FILE       Where the signed bundle goes.
+  --out=FILE       File to write the signed bundle to.
   --wait=SECONDS   Time for processes to acknowledge [default: 10].
   --force          Accept though some processes have not acknowledged.
-  --dry-run        Check all, change nothing.
-  --json           Write for programs.
+  --dry-run        Only check, change nothing.
+  --json           Write JSON lines for programs.
   --help           Show this page.
 
 Addresses and keys come from the PAPAYAPICK_ variables.
 """
 
     def handle(self):
-        """Run the named step."""
+        """Run the named subcommand."""
         for step in ("check", "diff", "sign", "roll", "step-back", "status"):
             if self.options[step]:
                 return getattr(self, "_" + step.replace("-", "_"))()
@@ -104,7 +104,7 @@
         try:
             sign(envelope, self.operator(), read_file(key_path))
         except (ValueError, TypeError, AttributeError):
-            # Without its cause: a library's message may quote the file.
+            # The cause is dropped: the message of a library may quote the file.
             raise SigningKeyInvalid(path=key_path) from None
         write_file(self.options["--out"], envelope.to_bytes())
         self.output.write(
@@ -118,17 +118,17 @@
         settings = self.settings()
         envelope = _read_envelope(self.options["<file>"])
         KeyRing.from_config(settings).verify(envelope)
-        return self._put_in_force(settings, envelope)
+        return self._roll_envelope(settings, envelope)
 
     def _step_back(self):
         settings = self.settings()
         _, objects, _ = self.platform(settings)
         keyring = KeyRing.from_config(settings)
         envelope = fetch_envelope(objects, self.options["<digest>"], keyring)
-        return self._put_in_force(settings, envelope)
+        return self._roll_envelope(settings, envelope)
 
-    def _put_in_force(self, settings, envelope):
-        self._patience()
+    def _roll_envelope(self, settings, envelope):
+        self._wait_seconds()
         if envelope.bundle.cell != settings.cell:
             raise BundleInvalid(
                 place="cell", reason=f"it is for {envelope.bundle.cell}"
@@ -143,15 +143,16 @@
                 sequence=head.sequence + 1,
             )
             return EXIT_OK
-        # What can fail without harm fails before the proposal is written.
+        # Steps that may fail come before the proposal is written, so that a failure
+        # leaves no open proposal.
         keys = CellKeys.from_file(settings.cell_key)
         entries = hosts.fetch()
         proposal = propose(table, objects, envelope, self.operator(), self.clock.time())
         names = _process_names(entries)
         with contextlib.suppress(TableUnavailable):
-            # They would find the proposal themselves, only later.
+            # Without an announcement processes find the proposal later, by polling.
             self._announce(keys, entries, read_head(table))
-        self._collect(table, names, proposal)
+        self._collect_acknowledgements(table, names, proposal)
         head = self._accept(table, proposal)
         self._announce(keys, entries, head)
         self.output.write(
@@ -159,7 +160,7 @@
             accepted=digest,
             sequence=head.sequence,
         )
-        missing = self._wait_for(table, names, proposal, states=(IN_FORCE,))
+        missing = self._wait_for_states(table, names, proposal, states=(IN_FORCE,))
         self.output.write(
             f"in force on {len(names) - len(missing)} of {len(names)} processes"
             + (f"; not heard from {', '.join(sorted(missing))}" if missing else ""),
@@ -168,11 +169,11 @@
         )
         return EXIT_PARTLY if missing else EXIT_OK
 
-    def _collect(self, table, names, proposal):
+    def _collect_acknowledgements(self, table, names, proposal):
         try:
-            missing = self._wait_for(table, names, proposal, states=None)
+            missing = self._wait_for_states(table, names, proposal, states=None)
         except KeyboardInterrupt:
-            # An open proposal would refuse other operators until it lapses.
+            # While a proposal is open, other operators' rolls are refused.
             withdraw(table, proposal)
             raise RollInterrupted() from None
         if missing and not self.options["--force"]:
@@ -184,41 +185,41 @@
         try:
             return accept(table, proposal)
         except TableUnavailable as error:
-            # It may have taken effect; "failed" would have the operator repeat
-            # it, or go on as if the old bundle were in force.
+            # The acceptance may have taken effect. If it were reported as failed, the
+            # operator might repeat it or assume that the old bundle is in force.
             raise RollUnsettled(
                 digest=proposal.digest, sequence=proposal.sequence
             ) from error
 
     def _announce(self, keys, entries, head):
         identity = Hello(host=f"operator/{self.operator()}", region="", zone="")
-        announce_head(entries, head, keys, identity, _ANNOUNCE_SECONDS)
+        announce_head(entries, head, keys, identity, _ANNOUNCE_TIMEOUT_SECONDS)
 
-    def _wait_for(self, table, names, proposal, states):
-        deadline = self.clock.monotonic() + self._patience()
+    def _wait_for_states(self, table, names, proposal, states):
+        deadline = self.clock.monotonic() + self._wait_seconds()
         missing = set(names)
         while True:
-            seen = _seen_if_readable(table)
+            seen = _read_seen_or_empty(table)
             for name in sorted(missing):
-                if _has_seen(seen.get(name), proposal, states):
+                if _has_acknowledged(seen.get(name), proposal, states):
                     missing.discard(name)
                     self._show_progress(name, seen[name], len(names) - len(missing))
             if not missing or self.clock.monotonic() >= deadline:
                 return missing
-            self.clock.wait(threading.Event(), _LOOK_SECONDS)
+            self.clock.wait(threading.Event(), _POLL_SECONDS)
 
     def _show_progress(self, name, found, count):
         state = found["state"]
         self.output.write(f"  {name}: {state}", host=name, state=state, count=count)
 
-    def _patience(self):
+    def _wait_seconds(self):
         given = self.options["--wait"]
         try:
             seconds = float(given)
         except ValueError:
             seconds = math.nan
-        if not 0 <= seconds <= _LONGEST_WAIT_SECONDS:
-            allowed = f"seconds from 0 to {_LONGEST_WAIT_SECONDS}"
+        if not 0 <= seconds <= _MAX_WAIT_SECONDS:
+            allowed = f"seconds from 0 to {_MAX_WAIT_SECONDS}"
             raise ArgumentInvalid(flag="--wait", given=given, allowed=allowed)
         return seconds
 
@@ -261,9 +262,9 @@
     return found if isinstance(found, dict) else None
 
 
-def _seen_if_readable(table):
-    # An outage while the words come in says nothing about the roll: what is
-    # accepted stays accepted, and nobody has been heard from.
+def _read_seen_or_empty(table):
+    # A table outage while acknowledgements come in does not fail the roll: an accepted
+    # bundle stays accepted, and the processes count as not heard from.
     try:
         return read_seen(table)
     except TableUnavailable:
@@ -275,11 +276,14 @@
     return sorted(entry.name for entry in found if entry.is_live)
 
 
-def _has_seen(found, proposal, states):
+def _has_acknowledged(found, proposal, states):
     if found is None:
         return False
-    is_it = (found["sequence"], found["digest"]) == (proposal.sequence, proposal.digest)
-    return is_it and (states is None or found["state"] in states)
+    is_proposed = (found["sequence"], found["digest"]) == (
+        proposal.sequence,
+        proposal.digest,
+    )
+    return is_proposed and (states is None or found["state"] in states)
 
 
 def _differences(old, new, place=""):
--- a/papayapick/management/commands/cell.py
+++ b/papayapick/management/commands/cell.py
@@ -1,4 +1,4 @@
-"""Show who lives, who owns what and which bundle runs where."""
+"""Show processes, owners of shards and running bundles of a cell."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 
 
 class CellCommand(Command):
-    """Look at a live cell; nothing is changed."""
+    """Show the state of a live cell, without changing it."""
 
     name = "cell"
     usage = """Show the state of a live cell. Nothing here changes it.
@@ -27,13 +27,13 @@
 status sums up; hosts shows each process and counts workers and instances;
 shards shows owner, epoch, free slots and waiting requests of each shard.
 
-Exit code 0 when all answers and is served, 3 when something is missing.
+Exit code 0 when all processes answer and all shards are served, otherwise 3.
 
 Options:
-  --json  Write for programs, one JSON object a line.
+  --json  Write JSON lines for programs.
   --help  Show this page.
 
-Addresses and keys come from the PAPAYAPICK_ variables. Where the settings file of the
+Addresses and keys come from the PAPAYAPICK_ variables. If the settings file of the
 users' platform is named, status shows its pools, as pool status does.
 """
 
--- a/papayapick/management/commands/check.py
+++ b/papayapick/management/commands/check.py
@@ -11,28 +11,28 @@
 
 
 class CheckCommand(Command):
-    """Run the checks and report what they find."""
+    """Run the checks and report their findings."""
 
     name = "check"
-    usage = """Look for mistakes in settings, bundle and surroundings.
+    usage = """Check settings, bundles, keys and the platform for mistakes.
 
 Usage:
   papayapick check [<bundle>...] [--deploy] [--json]
   papayapick check --settings [--json]
   papayapick check --help
 
-Without --deploy only the package and the named bundle files are looked at.
+Without --deploy only the package, its deploy files and the named bundles are checked.
 
 Options:
-  --deploy    Look at settings, keys, platform and live list too; compare the
+  --deploy    Check settings, keys, platform and live list too; compare the
               live list with the named bundle, or with the one in force.
   --settings  Show each setting of this environment and where it comes from.
-  --json      Write for programs.
+  --json      Write JSON lines for programs.
   --help      Show this page.
 """
 
     def handle(self):
-        """Print each finding; return 1 where one is an error."""
+        """Print each finding; return 1 if one is an error."""
         if self.options["--settings"]:
             return self._show_settings()
         findings = run_checks(
--- a/papayapick/management/commands/key.py
+++ b/papayapick/management/commands/key.py
@@ -1,4 +1,4 @@
-"""Make keys."""
+"""Generate keys."""
 
 import base64
 import json
@@ -14,14 +14,14 @@
 
 
 class KeyCommand(Command):
-    """Make an operator's signing key, or the key of a cell.
+    """Generate an operator's signing key, or the key of a cell.
 
-    Private keys go to files that only their owner can read; they are never
+    Secret keys are written to files that only their owner can read, and are never
     printed or logged.
     """
 
     name = "key"
-    usage = """Make keys for operators and for the cell.
+    usage = """Generate keys for operators and for the cell.
 
 Usage:
   papayapick key operator <name> <private-file> [--json]
@@ -29,12 +29,12 @@
   papayapick key --help
 
 Options:
-  --json  Write for programs.
+  --json  Write JSON lines for programs.
   --help  Show this page.
 """
 
     def handle(self):
-        """Write the key and print the public part."""
+        """Write the key file, and print the public key of an operator."""
         if self.options["operator"]:
             private, public = generate_key()
             name, path = self.options["<name>"], self.options["<private-file>"]
--- a/papayapick/management/commands/logs.py
+++ b/papayapick/management/commands/logs.py
@@ -16,12 +16,12 @@
 __all__ = ["LogsCommand"]
 
 _MARKS = {True: "*", False: " "}
-_TAKEN_THEN = {True: "", False: "; the logs end before a host took it"}
-_LEAST_SECONDS = 0.05
+_END_NOTES = {True: "", False: "; the logs end before a host took it"}
+_MIN_SHOWN_SECONDS = 0.05
 
 
 class LogsCommand(Command):
-    """Read logs of entry hosts; nothing is asked of the cell."""
+    """Explain requests and waits from logs of entry hosts, without a running cell."""
 
     name = "logs"
     usage = """Explain requests and waits from the logs of several entry hosts.
@@ -31,44 +31,44 @@
   papayapick logs waits <file>... [--every=<s>] [--json]
   papayapick logs --help
 
-explain: the lines about the request are put in order; the one that decided its
-outcome, or its longest wait, is marked with a star and repeated at the end. Clocks of
-hosts may differ by seconds. At the very end stands for how long its pool had no working
-owner between its acceptance and its first placement, as far as the logs tell.
+explain: shows the lines about the request in order of time; the one that decided its
+outcome, or explains its longest wait, is marked with a star and repeated at the end.
+Clocks of hosts may differ by seconds. The last lines show for how long its pool had no
+working owner between its acceptance and its first placement, according to the logs.
 
-waits: the seconds that ready steps waited, by queue and by what they waited for, first
-in all, then for each span of time. Where lines of a job stand in reverse order, since
-clocks of hosts differ or a line was written late, the last line tells by how much.
+waits: shows the seconds that ready steps waited, by queue and reason, first in all,
+then for each time span. If lines of a job are in reverse order, since clocks of hosts
+differ or a line was written late, the last line shows by how much.
 
 Exit code 0 when the request or any wait was found, 1 when no line names one.
 
 Options:
-  --around     Show owners and store around it too.
+  --around     Show events of owners and store meanwhile too.
   --every=<s>  Length of a span in whole seconds [default: 1].
-  --json       Write for programs, one JSON object a line.
+  --json       Write JSON lines for programs.
   --help       Show this page.
 """
 
     def handle(self):
-        """Print what was asked for."""
-        lines = read_lines(self._texts())
+        """Run the named subcommand."""
+        lines = read_lines(self._read_files())
         if self.options["waits"]:
             return self._show_waits(lines)
         return self._explain(lines)
 
     def _show_waits(self, lines):
-        every = self._every()
+        span_seconds = self._span_seconds()
         waits, reversals = read_waits(lines)
         if not (waits or reversals):
             raise NoWaitLogged(lines=len(lines))
         self._show_sums("in all", sum_waits(waits))
-        for begin, sums in sum_spans(waits, every):
+        for begin, sums in sum_spans(waits, span_seconds):
             self._show_sums(format_utc(begin), sums)
         if reversals:
             self._show_reversals(reversals)
         return EXIT_OK
 
-    def _every(self):
+    def _span_seconds(self):
         given = self.options["--every"]
         if not given.isdecimal() or int(given) == 0:
             raise SpanInvalid(given=given)
@@ -76,7 +76,7 @@
 
     def _show_sums(self, span, sums):
         for (queue, reason), (seconds, steps) in sorted(sums.items()):
-            if seconds >= _LEAST_SECONDS:
+            if seconds >= _MIN_SHOWN_SECONDS:
                 self.output.write(
                     f"{span}  {queue}  {reason}: {seconds:.2f} s, {steps} steps",
                     span=span,
@@ -107,11 +107,11 @@
             )
         for line in shown:
             self._show(line, line is deciding)
-        vacancies = [_as_mapping(vacancy) for vacancy in timeline.vacancies()]
+        vacancies = [_vacancy_mapping(vacancy) for vacancy in timeline.vacancies()]
         self.output.write(
             f"{timeline.request_id}: {timeline.status}; decided by: "
             f"{deciding.event} at {deciding.host}, {deciding.format_fields()}"
-            + _as_text(vacancies),
+            + _format_vacancies(vacancies),
             request=timeline.request_id,
             status=timeline.status,
             deciding=deciding.fields,
@@ -119,7 +119,7 @@
         )
         return EXIT_OK
 
-    def _texts(self):
+    def _read_files(self):
         for path in self.options["<file>"]:
             try:
                 with open(path, encoding="utf-8", errors="replace") as file:
@@ -136,7 +136,7 @@
         )
 
 
-def _as_mapping(vacancy):
+def _vacancy_mapping(vacancy):
     return {
         "pool": vacancy.pool,
         "begin": format_utc(vacancy.begin),
@@ -145,9 +145,9 @@
     }
 
 
-def _as_text(vacancies):
+def _format_vacancies(vacancies):
     return "".join(
         f"\n  pool {one['pool']} had no working owner for {one['seconds']:.2f} s of "
-        f"its wait, from {one['begin']}{_TAKEN_THEN[one['is_over']]}"
+        f"its wait, from {one['begin']}{_END_NOTES[one['is_over']]}"
         for one in vacancies
     )
--- a/papayapick/management/commands/pool.py
+++ b/papayapick/management/commands/pool.py
@@ -26,7 +26,7 @@
 
 
 class PoolCommand(Command):
-    """Look at the store of the users' platform; nothing is changed."""
+    """Show pools and jobs from the store of the users' platform, without changes."""
 
     name = "pool"
     usage = """Show pools, entry hosts and jobs of the users' platform.
@@ -37,19 +37,19 @@
   papayapick pool --help
 
 status shows who owns each pool, at which epoch, which queues it serves, and which
-entry hosts can be reached; job shows how far a job of steps is, as recorded.
+entry hosts can be reached; job shows the recorded progress of a job of steps.
 
-Exit code 0 when each pool has an owner that can be reached, 3 when one has not.
+Exit code 0 when each pool has an owner that can be reached, otherwise 3.
 
 Options:
-  --json  Write for programs, one JSON object a line.
+  --json  Write JSON lines for programs.
   --help  Show this page.
 
-The platform's settings file is named by its own variable.
+An environment variable of the platform names its settings file.
 """
 
     def handle(self):
-        """Show the named view."""
+        """Run the named subcommand."""
         view = PoolsView.from_config()
         configuration = current_configuration(view)
         if self.options["job"]:
--- a/papayapick/management/commands/request.py
+++ b/papayapick/management/commands/request.py
@@ -17,7 +17,7 @@
 
 
 class RequestCommand(Command):
-    """Ask the owner of a request's shard."""
+    """Query or cancel a durable request at the owner of its shard."""
 
     name = "request"
     usage = """Show, explain and cancel durable requests.
@@ -28,20 +28,20 @@
   papayapick request cancel <id> [--dry-run] [--json]
   papayapick request --help
 
-explain tells why a request waits, or where it was placed. Urgent repeatable
-requests are not kept: their answer went to the caller.
+explain shows why a request waits, or where it was placed. Urgent repeatable
+requests are not stored: their answer went to the caller.
 
 Options:
   --dry-run  Show the request, cancel nothing.
-  --json     Write for programs.
+  --json     Write JSON lines for programs.
   --help     Show this page.
 
-Addresses and keys come from the PAPAYAPICK_ variables. Where the settings file of the
+Addresses and keys come from the PAPAYAPICK_ variables. If the settings file of the
 users' platform is named, explain takes the id of a job of steps.
 """
 
     def handle(self):
-        """Ask for the request, or for its end."""
+        """Show, explain or cancel the request."""
         request_id = self.options["<id>"]
         if self.options["explain"] and PoolsView.is_configured():
             return self._explain_job(request_id)
@@ -55,8 +55,8 @@
             return OperatorPeers.from_config(settings, hosts.fetch(), self.operator())
 
         message = self._message(shard, request_id)
-        asking = OwnerClient(table, connect, self.clock)
-        self._show(asking.ask(shard, message))
+        client = OwnerClient(table, connect, self.clock)
+        self._show(client.ask(shard, message))
         return EXIT_OK
 
     def _explain_job(self, identifier):
@@ -67,9 +67,9 @@
             host.is_reached for host in view.hosts() if host.name == owner.owner
         )
         reasons = explain_job(job, owner, is_reached, view.workers(job.pool))
-        told = [reason.as_mapping() for reason in reasons]
-        values = {"request": identifier, "state": job.status, "reasons": told}
-        text = f"{identifier}: {job.status}" + _as_lines(told)
+        mappings = [reason.as_mapping() for reason in reasons]
+        values = {"request": identifier, "state": job.status, "reasons": mappings}
+        text = f"{identifier}: {job.status}" + _format_reasons(mappings)
         self.output.write(text, **values)
         return EXIT_OK
 
@@ -89,7 +89,7 @@
         if self.options["explain"] and state.detail:
             reasons = json.loads(state.detail)
             values["reasons"] = reasons
-            text += _as_lines(reasons)
+            text += _format_reasons(reasons)
         elif state.detail:
             values["detail"] = state.detail
             text += f" ({state.detail})"
@@ -100,5 +100,5 @@
         self.output.write(text, **values)
 
 
-def _as_lines(reasons):
+def _format_reasons(reasons):
     return "".join(f"\n  {one['code']}: {one['text']}" for one in reasons)
--- a/papayapick/management/exceptions.py
+++ b/papayapick/management/exceptions.py
@@ -23,7 +23,7 @@
 
 
 class CommandError(PapayapickError):
-    """Stand for any error of a command."""
+    """Base class of the errors of commands."""
 
     code = "command.error"
 
@@ -32,18 +32,18 @@
     """Report a command that does not exist."""
 
     code = "command.unknown"
-    template = "there is no command {name}; known are {known}"
+    template = "unknown command {name}; the commands are {known}"
 
 
 class FileUnreadable(CommandError):
-    """Report a file that can't be read."""
+    """Report a file that cannot be read."""
 
     code = "command.file-unreadable"
-    template = "{path} can't be read: {reason}"
+    template = "{path} cannot be read: {reason}"
 
 
 class NotAcknowledged(CommandError):
-    """Report processes that have not acknowledged a bundle."""
+    """Report processes that have not acknowledged a proposed bundle."""
 
     code = "command.not-acknowledged"
     template = "not acknowledged by {hosts}; the bundle was not accepted"
@@ -67,7 +67,9 @@
     """Report an id under which no pool has a job."""
 
     code = "command.job-missing"
-    template = "no pool has job {identifier}; it may be over for more than two minutes"
+    template = (
+        "no pool has job {identifier}; it may have ended more than two minutes ago"
+    )
 
 
 class RequestNotLogged(CommandError):
@@ -80,24 +82,24 @@
 
 
 class NoWaitLogged(CommandError):
-    """Report logs that tell of no step that waited."""
+    """Report logs without a step that waited."""
 
     code = "command.no-wait-logged"
-    template = "none of {lines} lines tells of a wait; hint: give the owner's log"
+    template = "none of {lines} lines shows a wait; hint: give the owner's log"
 
 
 class SpanInvalid(CommandError):
-    """Report a length of time that is no whole number of seconds above 0."""
+    """Report a time span that is not a whole number of seconds above 0."""
 
     code = "command.span-invalid"
     template = "--every must be a whole number of seconds above 0, not {given!r}"
 
 
 class RequestIdInvalid(CommandError):
-    """Report a text that can't be the id of a durable request."""
+    """Report a text that cannot be the id of a durable request."""
 
     code = "command.request-id-invalid"
-    template = "{request_id!r} names no shard; hint: take it from Location"
+    template = "{request_id!r} names no shard; hint: copy the id from Location"
 
 
 class OwnerMissing(CommandError):
@@ -108,31 +110,31 @@
 
 
 class FileUnwritable(CommandError):
-    """Report a file that can't be written."""
+    """Report a file that cannot be written."""
 
     code = "command.file-unwritable"
-    template = "{path} can't be written: {reason}"
+    template = "{path} cannot be written: {reason}"
 
 
 class SigningKeyInvalid(CommandError):
-    """Report a file that holds no private key; its text is never shown."""
+    """Report a file without a private key; its contents are never shown."""
 
     code = "command.signing-key-invalid"
     template = "{path} holds no unencrypted Ed25519 private key"
 
 
 class RollInterrupted(CommandError):
-    """Report a roll that its operator ended before the acceptance."""
+    """Report a roll that its operator interrupted before the acceptance."""
 
     code = "command.roll-interrupted"
     template = "interrupted; the bundle was not accepted"
 
 
 class RollUnsettled(CommandError):
-    """Report an acceptance whose answer was lost."""
+    """Report an acceptance that the table did not answer."""
 
     code = "command.roll-unsettled"
     template = (
-        "the table did not answer; whether {digest} was accepted as sequence "
-        "{sequence} is not known; hint: papayapick bundle status"
+        "the table did not answer; it is not known whether {digest} was accepted as "
+        "sequence {sequence}; hint: papayapick bundle status"
     )
--- a/papayapick/management/exit_codes.py
+++ b/papayapick/management/exit_codes.py
@@ -1,13 +1,14 @@
-"""Name the exit codes of the command line."""
+"""Define the exit codes of the command line."""
 
 __all__ = ["EXIT_FAILED", "EXIT_OK", "EXIT_PARTLY", "EXIT_SETTINGS", "EXIT_UNKNOWN"]
 
 EXIT_OK = 0
-# Refused or failed; what was asked for did not come about.
+# The command was refused or failed, and had no effect.
 EXIT_FAILED = 1
-# Wrong settings or arguments; nothing was tried.
+# Settings or arguments are wrong, so nothing was attempted.
 EXIT_SETTINGS = 2
-# Done, but something did not answer or is behind; the output names it.
+# The command succeeded, but the output names processes or pools that did not answer or
+# are not up to date.
 EXIT_PARTLY = 3
-# It may have taken effect or not; look before doing it again.
+# Whether the command took effect is unknown; check before repeating it.
 EXIT_UNKNOWN = 4
--- a/papayapick/management/owner_client.py
+++ b/papayapick/management/owner_client.py
@@ -1,4 +1,4 @@
-"""Ask the owner of a shard, also while the shard changes hands."""
+"""Send requests to the owner of a shard, also while the owner changes."""
 
 import threading
 
@@ -9,20 +9,20 @@
 
 __all__ = ["OwnerClient"]
 
-# A takeover is over within the silence after which a peer counts as dead, 2 s as
-# set, and an inventory; a gateway follows a shard for as long.
-_FOLLOW_SECONDS = 4.5
-_LOOK_SECONDS = 0.05
+# A takeover takes the time after which a silent peer counts as dead, 2 s by default,
+# and an inventory. A gateway retries for as long while a shard has no owner.
+_RETRY_SECONDS = 4.5
+_RETRY_INTERVAL_SECONDS = 0.05
 
 
 class OwnerClient:
-    """Bring a question to whoever owns a shard.
+    """Send messages to the current owner of a shard.
 
     Parameters
     ----------
     table : Table
     connect : callable
-        Returns the OperatorPeers of the live list as it is now.
+        Returns the OperatorPeers of the current live list.
     clock : Clock
     """
 
@@ -36,10 +36,10 @@
     def ask(self, shard, message):
         """Return the owner's answer.
 
-        A shard that is handed over, or whose owner has just gone, has no owner
-        that answers for a moment. The command then failed though nothing was
-        wrong; queries and cancellations are idempotent, so they are sent again
-        to the owner that the table names next.
+        During a handover, or when its owner has just been lost, a shard has no owner
+        that answers for a short time. Queries and cancellations are idempotent, so
+        they are sent again, to the owner that the table names by then; otherwise the
+        command would fail though nothing is wrong.
 
         Parameters
         ----------
@@ -53,29 +53,29 @@
         Raises
         ------
         OwnerMissing
-            The shard never had an owner, or got none in time.
+            The shard never had an owner, or none took it in time.
         PeerRefused
-            The owner's own word.
+            The owner refused the message.
         WireError, TableUnavailable, HostListUnavailable
         """
-        give_up = self._clock.monotonic() + _FOLLOW_SECONDS
-        never = threading.Event()
+        deadline = self._clock.monotonic() + _RETRY_SECONDS
+        never_set = threading.Event()
         while True:
             row = read_shard(self._table, shard)
             try:
-                return self._ask_once(row, message)
+                return self._send_once(row, message)
             except PeerRefused as error:
-                if not has_moved(error) or self._is_over(give_up):
+                if not has_moved(error) or self._has_passed(deadline):
                     raise
             except WireError:
-                if self._is_over(give_up):
+                if self._has_passed(deadline):
                     raise
             except OwnerMissing:
-                if not row.version or self._is_over(give_up):
+                if not row.version or self._has_passed(deadline):
                     raise
-            self._clock.wait(never, _LOOK_SECONDS)
+            self._clock.wait(never_set, _RETRY_INTERVAL_SECONDS)
 
-    def _ask_once(self, row, message):
+    def _send_once(self, row, message):
         with self._connect() as peers:
             try:
                 return peers.ask(row.owner, message)
@@ -84,5 +84,5 @@
                     shard=row.shard, owner=row.owner or "nobody"
                 ) from None
 
-    def _is_over(self, give_up):
-        return self._clock.monotonic() >= give_up
+    def _has_passed(self, deadline):
+        return self._clock.monotonic() >= deadline
--- a/papayapick/management/peers.py
+++ b/papayapick/management/peers.py
@@ -1,4 +1,4 @@
-"""Ask the processes of a cell, as an operator, over authenticated connections."""
+"""Query the processes of a cell as an operator, over authenticated connections."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -8,17 +8,17 @@
 
 __all__ = ["OperatorPeers", "process_entries"]
 
-_SIDE_BY_SIDE = 16
+_MAX_CONCURRENT_REQUESTS = 16
 
 
 def process_entries(entries):
-    """Return the gateways and placers of a live list, by kind and name."""
+    """Return the gateways and placers of a live list, sorted by kind and name."""
     found = [one for one in entries if one.kind in (GATEWAY_KIND, PLACER_KIND)]
     return sorted(found, key=lambda entry: (entry.kind, entry.name))
 
 
 class OperatorPeers:
-    """Hold a connection to each process that is asked.
+    """Hold a connection to each gateway and placer.
 
     Parameters
     ----------
@@ -26,31 +26,43 @@
         Gateways and placers.
     cell_keys : CellKeys
     operator : str
-    seconds : float
-        To connect, and to wait for each answer.
+    timeout_seconds : float
+        Timeout of connecting, and of each answer.
     """
 
-    __slots__ = ("_askers", "_clients", "_entries", "_readers", "_seconds")
+    __slots__ = (
+        "_request_executor",
+        "_clients",
+        "_entries",
+        "_reader_executor",
+        "_timeout_seconds",
+    )
 
-    def __init__(self, entries, cell_keys, operator, seconds):
+    def __init__(self, entries, cell_keys, operator, timeout_seconds):
         self._entries = {entry.name: entry for entry in entries}
-        self._seconds = seconds
-        self._askers = ThreadPoolExecutor(_SIDE_BY_SIDE)
-        # One task reads each connection for as long as it is open.
-        self._readers = readers = ThreadPoolExecutor(max(1, len(self._entries)))
+        self._timeout_seconds = timeout_seconds
+        self._request_executor = ThreadPoolExecutor(_MAX_CONCURRENT_REQUESTS)
+        # Each open connection occupies one thread that reads from it.
+        self._reader_executor = reader_executor = ThreadPoolExecutor(
+            max(1, len(self._entries))
+        )
         self._clients = {
             name: PeerClient(
-                entry.address, cell_keys, _identity(operator, entry), readers, seconds
+                entry.address,
+                cell_keys,
+                _identity(operator, entry),
+                reader_executor,
+                timeout_seconds,
             )
             for name, entry in self._entries.items()
         }
 
     @classmethod
     def from_config(cls, settings, entries, operator):
-        """Build the connections of one command."""
+        """Build the connections for one command."""
         keys = CellKeys.from_file(settings.cell_key)
-        seconds = settings.platform_timeout_seconds
-        return cls(process_entries(entries), keys, operator, seconds)
+        timeout_seconds = settings.platform_timeout_seconds
+        return cls(process_entries(entries), keys, operator, timeout_seconds)
 
     def __enter__(self):
         return self
@@ -59,7 +71,7 @@
         self.close()
 
     def ask(self, name, payload):
-        """Ask one process.
+        """Send a message to one process and return its answer.
 
         Raises
         ------
@@ -67,27 +79,31 @@
             The process is not on the live list.
         WireError
         """
-        return self._clients[name].ask(payload, self._seconds)
+        return self._clients[name].ask(payload, self._timeout_seconds)
 
     def heartbeats(self):
-        """Return what each process says of itself, None where it is silent.
+        """Return the heartbeat of each process, None for one that does not answer.
 
         Returns
         -------
         dict of str to Heartbeat or None
         """
         return dict(
-            zip(self._clients, self._askers.map(self._beat, self._clients), strict=True)
+            zip(
+                self._clients,
+                self._request_executor.map(self._request_heartbeat, self._clients),
+                strict=True,
+            )
         )
 
     def close(self):
         """Close every connection."""
         for client in self._clients.values():
             client.close()
-        self._askers.shutdown()
-        self._readers.shutdown()
+        self._request_executor.shutdown()
+        self._reader_executor.shutdown()
 
-    def _beat(self, name):
+    def _request_heartbeat(self, name):
         try:
             return self.ask(name, Heartbeat(host="operator"))
         except WireError:
@@ -95,6 +111,6 @@
 
 
 def _identity(operator, entry):
-    # Who asks from another region hears a summary of the region only; the
-    # operator asks each process for its own word.
+    # A peer of another region gets only a summary of the region. To get the heartbeat
+    # of the process itself, the operator identifies with its region and zone.
     return Hello(host=f"operator/{operator}", region=entry.region, zone=entry.zone)
--- a/papayapick/management/pools.py
+++ b/papayapick/management/pools.py
@@ -1,4 +1,4 @@
-"""See pools and jobs of the users' platform, from its store and its hosts."""
+"""Read pools and jobs of the users' platform from its store."""
 
 import os
 import socket
@@ -21,12 +21,12 @@
 
 __all__ = ["HostView", "JobView", "PoolsView", "StepView"]
 
-_CALL_SECONDS = 2.0
-_PROBE_SECONDS = 0.5
+_CALL_TIMEOUT_SECONDS = 2.0
+_PROBE_TIMEOUT_SECONDS = 0.5
 
 
 class HostView:
-    """Hold one entry host: its row, and whether it can be reached."""
+    """Hold one entry host: its registration, and whether it can be reached."""
 
     __slots__ = ("address", "is_reached", "name", "zone")
 
@@ -44,9 +44,9 @@
     ----------
     occurrence, number, tasks, done : int
     places : dict of str to str
-        Worker of each task that was started and is not done.
+        Worker of each started task that is not done, by task.
     failures : dict of str to int
-        Of each task that failed.
+        Number of failures of each failed task, by task.
     """
 
     __slots__ = ("done", "failures", "number", "occurrence", "places", "tasks")
@@ -66,7 +66,7 @@
 
 
 class JobView:
-    """Hold one job as the store has it.
+    """Hold one job as recorded in the store.
 
     Parameters
     ----------
@@ -106,7 +106,7 @@
 
 
 class PoolsView:
-    """Read the store; nothing is changed.
+    """Read pools, hosts, workers and jobs from the store, without changing it.
 
     Parameters
     ----------
@@ -126,17 +126,17 @@
 
     @classmethod
     def from_config(cls, environment=None):
-        """Reach the store that the platform's settings file names.
+        """Connect to the store that the platform's settings file names.
 
         Raises
         ------
         PlatformSettingsInvalid
         """
         settings = PlatformSettings.from_config(environment)
-        return cls(Store(settings.store_address, HttpPool(_CALL_SECONDS)))
+        return cls(Store(settings.store_address, HttpPool(_CALL_TIMEOUT_SECONDS)))
 
     def configuration(self):
-        """Return the operator's configuration, or None where there is none.
+        """Return the operator's configuration, or None if the store has none.
 
         Raises
         ------
@@ -149,7 +149,7 @@
         return None
 
     def pools(self, configuration):
-        """Return the row of each pool that queues use, by name."""
+        """Return the rows of the pools that queues use, sorted by name."""
         return [read_pool(self._store, pool) for pool in sorted(configuration.pools)]
 
     def pool(self, name):
@@ -159,7 +159,8 @@
     def hosts(self):
         """Return all entry hosts that have registered, as a list of HostView.
 
-        Rows of hosts that were removed stay: they are the ones that are not reached.
+        The rows of removed hosts stay in the store, so such hosts are listed as not
+        reached.
         """
         rows, _ = self._store.read_all(CELL_TABLE, HOSTS_PARTITION)
         return [
@@ -174,7 +175,7 @@
         ]
 
     def workers(self, pool):
-        """Return what the workers of a pool have registered, as a list."""
+        """Return the registrations of the workers of a pool, as a list."""
         rows, _ = self._store.read_all(WORKERS_TABLE, "")
         found = (decode_registration(row.key, row.value) for row in rows)
         return [one for one in found if one is not None and one.pool == pool]
@@ -200,26 +201,26 @@
             if rows.get(identifier) is not None:
                 document = JobDocument.from_record(rows[identifier])
                 is_cancelled = identifier + CANCEL_SUFFIX in rows
-                return self._job(document, is_cancelled)
+                return self._read_job(document, is_cancelled)
         return None
 
-    def _job(self, document, is_cancelled):
+    def _read_job(self, document, is_cancelled):
         identifier, pool = document.identifier, document.pool
         page = self._store.read(PROGRESS_TABLE, pool, identifier, identifier + "~")
         record = next((row.value for row in page.rows if row.value is not None), {})
         steps = [
-            _step(document, int(occurrence), number, step)
+            _decode_step(document, int(occurrence), number, step)
             for occurrence, steps in record.get("occurrences", {}).items()
             for number, step in enumerate(steps)
         ]
         status = record.get("status", JobStatus.WAITING)
         if status == JobStatus.WAITING and any(one.has_begun for one in steps):
-            # Starts are recorded before they are ordered, and their answer is not.
+            # A start is recorded before it is ordered, and its answer is not recorded.
             status = JobStatus.RUNNING
         return JobView(document, status, is_cancelled, steps)
 
 
-def _step(document, occurrence, number, record):
+def _decode_step(document, occurrence, number, record):
     tasks = document.steps[number].tasks
     done = int(record.get("done", "0"), 16).bit_count()
     failed = record.get("failed", {})
@@ -230,7 +231,7 @@
 
 def _is_reached(address, port):
     try:
-        socket.create_connection((address, port), _PROBE_SECONDS).close()
+        socket.create_connection((address, port), _PROBE_TIMEOUT_SECONDS).close()
     except OSError:
         return False
     return True
--- a/papayapick/management/program.py
+++ b/papayapick/management/program.py
@@ -21,7 +21,7 @@
 
 __all__ = ["USAGE", "main", "run"]
 
-USAGE = """Steer a cell of papayapick.
+USAGE = """Operate a cell of papayapick.
 
 Usage:
   papayapick <command> [<arguments>...]
@@ -29,10 +29,10 @@
   papayapick --version
 
 Commands:
-  bundle   Check, compare, sign, roll and step back bundles.
-  cell     Show who lives, who owns what and which bundle runs where.
-  check    Look for mistakes in settings, bundle and surroundings.
-  key      Make keys for operators and for the cell.
+  bundle   Check, compare, sign and roll bundles.
+  cell     Show processes, owners of shards and running bundles.
+  check    Check settings, bundles, keys and the platform for mistakes.
+  key      Generate keys for operators and for the cell.
   logs     Explain a request from the logs of several hosts.
   pool     Show pools, entry hosts and jobs of the users' platform.
   request  Show, explain and cancel durable requests.
@@ -74,7 +74,7 @@
         stderr.write(f"{error.code}: {error}\n")
         return EXIT_UNKNOWN
     except PeerRefused as error:
-        # Its text begins with the code of the error at the peer.
+        # Its text begins with the code of the peer's error.
         stderr.write(f"{error}\n")
         return EXIT_FAILED
     except PapayapickError as error:
@@ -94,12 +94,12 @@
 
 
 def main():
-    """Run the command line of this process."""
+    """Run the command line of this process and exit with its code."""
     try:
         code = run(sys.argv[1:], sys.stdout, sys.stderr)
     except BrokenPipeError:
-        # Whoever read the output has seen enough, as `head` does; the
-        # interpreter would complain again when it flushes at its end.
+        # The reader of the output has closed it, as `head` does. Without a redirection
+        # the interpreter would fail again when it flushes at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = EXIT_FAILED
     sys.exit(code)
--- a/papayapick/management/reasons.py
+++ b/papayapick/management/reasons.py
@@ -14,7 +14,7 @@
 
 
 def explain_job(job, owner, is_owner_reached, workers):
-    """Return the reasons for the state of a job, those that decide first.
+    """Return the reasons for the state of a job, the decisive ones first.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
     """
     status = JobStatus.CANCELLED if job.is_cancelled else job.status
     if status in JobStatus.FINAL:
-        return [Reason(_ENDED_CODES[status], _how_ended(job, status))]
+        return [Reason(_ENDED_CODES[status], _describe_end(job, status))]
     reasons = []
     if not is_owner_reached:
         name = owner.owner or "nobody"
@@ -42,19 +42,19 @@
                 f"pool {owner.pool} is owned by {name}, which can't be reached",
             )
         )
-    reasons += [_placed(step) for step in job.steps if step.places]
-    reasons += _never_fit(job, workers)
-    reasons += _due_later(job)
+    reasons += [_placement_reason(step) for step in job.steps if step.places]
+    reasons += _capacity_reasons(job, workers)
+    reasons += _due_time_reasons(job)
     return reasons or [
         Reason(
             "waits.for-turn",
-            f"no task is placed; the log of {owner.owner} tells whether advice or "
+            f"no task is placed; the log of {owner.owner} shows whether advice or "
             "room is missing (step waits)",
         )
     ]
 
 
-def _how_ended(job, status):
+def _describe_end(job, status):
     if status == JobStatus.CANCELLED:
         return "cancelled by a caller"
     failures = [
@@ -65,7 +65,7 @@
     return ", ".join([status, *failures])
 
 
-def _placed(step):
+def _placement_reason(step):
     places = [f"task {task} on {worker}" for task, worker in step.places.items()]
     return Reason(
         "placed.on",
@@ -74,7 +74,7 @@
     )
 
 
-def _never_fit(job, workers):
+def _capacity_reasons(job, workers):
     reasons = []
     for number, step in enumerate(job.document.steps):
         is_able = any(
@@ -94,7 +94,7 @@
     return reasons
 
 
-def _due_later(job):
+def _due_time_reasons(job):
     document = job.document
     if not document.is_timed or job.steps:
         return []
--- a/papayapick/management/times.py
+++ b/papayapick/management/times.py
@@ -1,4 +1,4 @@
-"""Show moments to people."""
+"""Format times for people."""
 
 import time
 
@@ -6,7 +6,7 @@
 
 
 def format_utc(seconds):
-    """Return Unix seconds as date and time of UTC.
+    """Return the UTC date and time of Unix seconds.
 
     Examples
     --------
--- a/papayapick/management/views.py
+++ b/papayapick/management/views.py
@@ -1,4 +1,4 @@
-"""See a cell from the table, the live list and the processes themselves."""
+"""Read the state of a cell from the table, the live list and its processes."""
 
 from papayapick.bundle.queries import read_head
 from papayapick.clients import HostListUnavailable, TableUnavailable
@@ -8,10 +8,10 @@
 
 
 class ShardView:
-    """Hold what table and processes say of one shard.
+    """Hold the state of one shard according to the table and the processes.
 
-    ``owner`` and ``epoch`` are the table's; ``served_by`` and
-    ``served_epoch`` are of the process that claims the highest epoch.
+    ``owner`` and ``epoch`` come from the table, ``served_by`` and ``served_epoch`` from
+    the process that claims the highest epoch.
     """
 
     __slots__ = (
@@ -35,7 +35,7 @@
 
     @property
     def is_served(self):
-        """Return whether a process serves it, as far as the table is seen."""
+        """Return whether its owner in the table serves it; any process if not read."""
         if not self.served_by:
             return False
         if self.owner is None:
@@ -43,7 +43,7 @@
         return (self.served_by, self.served_epoch) == (self.owner, self.epoch)
 
     def record_claim(self, host, summary):
-        """Note a process's claim unless one with a higher epoch was heard."""
+        """Record a claim unless one with the same or a higher epoch is recorded."""
         if self.served_by and summary.epoch <= self.served_epoch:
             return
         self.served_by, self.served_epoch = host, summary.epoch
@@ -51,22 +51,23 @@
         self.waiting = {one.service: one.waiting for one in summary.loads or ()}
 
     def as_mapping(self):
-        """Return the view for programs."""
+        """Return its fields as a dict for JSON."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         return {**fields, "shard": fields.pop("name"), "is_served": self.is_served}
 
 
 class CellView:
-    """Hold one look at a cell.
+    """Hold the state of a cell at one time.
 
     Parameters
     ----------
     head : Head or None
-        None where the table does not answer.
+        None if the table does not answer.
     shards : dict of str to ShardView
     entries : list of HostEntry or None
-        None where the live list does not answer.
+        None if the live list does not answer.
     heartbeats : dict of str to Heartbeat or None
+        By process; None for one that does not answer.
     """
 
     __slots__ = ("entries", "head", "heartbeats", "shards")
@@ -89,7 +90,7 @@
 
     @property
     def behind(self):
-        """Return the processes that answered and run another bundle."""
+        """Return the names of the processes that answered and run another bundle."""
         if self.head is None:
             return []
         return [
@@ -100,7 +101,7 @@
 
     @property
     def unserved(self):
-        """Return the names of the shards that nobody serves."""
+        """Return the names of the shards that no process serves."""
         return sorted(name for name, one in self.shards.items() if not one.is_served)
 
     @property
@@ -111,7 +112,7 @@
 
 
 def read_cell(table, hosts, connect):
-    """Look at a cell; what does not answer is left out and said so.
+    """Read the state of a cell; parts that do not answer are None in it.
 
     Parameters
     ----------
@@ -147,7 +148,7 @@
         return
     for summary in beat.shards or ():
         yield host, summary
-    # A process of another region tells of all placers of its own in a summary.
+    # A process of another region sends a summary of all placers of its region.
     for placer in beat.placers or ():
         for summary in placer.shards or ():
             yield placer.host, summary
--- a/tests/management/commands.py
+++ b/tests/management/commands.py
@@ -1,4 +1,4 @@
-"""Run the command line inside the test's process."""
+"""Run the command line within the process of the tests."""
 
 import io
 import json
@@ -8,8 +8,8 @@
 from papayapick.management.program import run
 
 
-class Ran:
-    """Hold what a command printed and its exit code."""
+class CommandResult:
+    """Hold the exit code and the output of a command."""
 
     def __init__(self, code, out, err):
         self.code = code
@@ -23,11 +23,11 @@
 
 
 def run_command(*arguments, environment=None):
-    """Run papayapick in this process under an environment."""
+    """Run papayapick in this process, with additional environment variables."""
     out, err = io.StringIO(), io.StringIO()
     with mock.patch.dict(os.environ, environment or {}):
         code = run([str(argument) for argument in arguments], out, err)
-    return Ran(code, out.getvalue(), err.getvalue())
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
 def in_cell(cell, *arguments):
--- a/tests/management/test_cell.py
+++ b/tests/management/test_cell.py
@@ -1,4 +1,4 @@
-"""The cell commands tell who lives, who owns what and what runs where."""
+"""The cell commands show processes, owners of shards and running bundles."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 PROCESSES = 6
 
 
-def test_status_of_a_whole_cell(footfall):
+def test_status_of_a_complete_cell(footfall):
     found = in_cell(footfall, "cell", "status", "--json")
     (line,) = found.lines
     assert (found.code, line["is_whole"]) == (0, True)
@@ -26,7 +26,7 @@
     assert "6 of 6 answer" in found.out
 
 
-def test_hosts_tells_each_process_and_counts_the_rest(footfall):
+def test_hosts_shows_each_process_and_counts_the_rest(footfall):
     lines = in_cell(footfall, "cell", "hosts", "--json").lines
     processes = [line for line in lines if "host" in line]
     assert len(processes) == PROCESSES
@@ -35,7 +35,7 @@
     assert set(counts) == {"hobart-a", "kingston-b", "launceston-a"}
 
 
-def test_shards_tells_owner_epoch_and_free_slots(footfall):
+def test_shards_shows_owner_epoch_and_free_slots(footfall):
     lines = in_cell(footfall, "cell", "shards", "--json").lines
     assert [line["shard"] for line in lines] == [
         f"{zone}.0" for zone in sorted(footfall.zones)
@@ -47,14 +47,14 @@
         )
 
     def all_are_open():
-        # Loads come with heartbeats: a shard just taken is told as full at first.
+        # Loads come with heartbeats, so a newly taken shard is shown as full at first.
         lines = in_cell(footfall, "cell", "shards", "--json").lines
         return all(line["free_slots"].get("quick-counts") for line in lines)
 
     footfall.wait_until(all_are_open, "a shard without free slots")
 
 
-def test_nothing_answers_is_told_and_not_raised(footfall):
+def test_unreachable_platform_is_shown_and_not_raised(footfall):
     environment = footfall._environment()
     for name in ("TABLE", "OBJECTS", "HOSTS"):
         environment[f"PAPAYAPICK_{name}_URL"] = "http://127.0.0.1:1"
@@ -65,7 +65,7 @@
     assert line["is_whole"] is False
 
 
-def _beat(sequence, *claims):
+def _heartbeat(sequence, *claims):
     loads = [ServiceLoad(service="counts", free_slots=1, waiting=0)]
     shards = [
         ShardSummary(shard=name, epoch=epoch, loads=loads) for name, epoch in claims
@@ -85,14 +85,21 @@
 
 ROW = ShardRow("a.0", "p1", 4, 9)
 VIEWS = [
-    ("whole", [ROW], {"p1": _beat(3, ("a.0", 4))}, [], [], []),
+    ("whole", [ROW], {"p1": _heartbeat(3, ("a.0", 4))}, [], [], []),
     ("owner silent", [ROW], {"p1": None}, ["p1"], [], ["a.0"]),
-    ("owner does not claim it", [ROW], {"p1": _beat(3)}, [], [], ["a.0"]),
-    ("old owner goes on", [ROW], {"p0": _beat(3, ("a.0", 3))}, [], [], ["a.0"]),
+    ("owner does not claim it", [ROW], {"p1": _heartbeat(3)}, [], [], ["a.0"]),
+    (
+        "old owner still serves",
+        [ROW],
+        {"p0": _heartbeat(3, ("a.0", 3))},
+        [],
+        [],
+        ["a.0"],
+    ),
     (
         "old owner beside the new",
         [ROW],
-        {"p0": _beat(3, ("a.0", 3)), "p1": _beat(3, ("a.0", 4))},
+        {"p0": _heartbeat(3, ("a.0", 3)), "p1": _heartbeat(3, ("a.0", 4))},
         [],
         [],
         [],
@@ -100,12 +107,12 @@
     (
         "new owner before the old",
         [ROW],
-        {"p1": _beat(3, ("a.0", 4)), "p2": _beat(3, ("a.0", 3))},
+        {"p1": _heartbeat(3, ("a.0", 4)), "p2": _heartbeat(3, ("a.0", 3))},
         [],
         [],
         [],
     ),
-    ("older bundle", [ROW], {"p1": _beat(2, ("a.0", 4))}, [], ["p1"], []),
+    ("older bundle", [ROW], {"p1": _heartbeat(2, ("a.0", 4))}, [], ["p1"], []),
 ]
 
 
--- a/tests/management/test_owner_client.py
+++ b/tests/management/test_owner_client.py
@@ -1,4 +1,4 @@
-"""Operators' questions find the owner of a shard that is changing hands."""
+"""Operators' messages reach the owner of a shard while it is handed over."""
 
 from types import SimpleNamespace
 
@@ -15,14 +15,14 @@
 
 
 class SteppingClock(ManualClock):
-    """Let each wait take its time at once."""
+    """Advance by each wait without blocking."""
 
     def wait(self, event, seconds):
         self.advance(seconds)
 
 
 class FakeTable:
-    """Name the owners of a shard in turn, the last one for good."""
+    """Return the given owners of a shard in turn, and then always the last one."""
 
     def __init__(self, *owners):
         self._owners = list(owners)
@@ -35,7 +35,7 @@
 
 
 class FakePeers:
-    """Answer for each placer with what it is to say."""
+    """Answer for each placer with its given answer or error."""
 
     def __init__(self, answers):
         self._answers = answers
@@ -54,11 +54,11 @@
 
 
 def ask(owners, answers):
-    asking = OwnerClient(
+    client = OwnerClient(
         FakeTable(*owners), lambda: FakePeers(answers), SteppingClock()
     )
     message = WorkCancel(shard="hobart-a.0", request_id="hobart-a.0.r")
-    return asking.ask("hobart-a.0", message)
+    return client.ask("hobart-a.0", message)
 
 
 def refused(code):
@@ -77,12 +77,12 @@
     ],
     ids=["released", "unlisted", "moved", "closed", "unreachable", "silent"],
 )
-def test_question_follows_a_shard_that_changes_hands(owners, first):
-    """An operator cancels a request while its shard is handed over.
+def test_message_follows_a_shard_that_is_handed_over(owners, first):
+    """A cancellation during a handover must not fail.
 
-    The command ended with an error though nothing was wrong: it read the
-    owner's row once, between the release by one placer and the claim by the
-    next, or asked the one that had just given the shard away.
+    The command failed when it read the owner's row only once, between the release by
+    one placer and the claim by the next, or when it sent to the placer that had just
+    released the shard.
     """
     assert ask(owners, {"a": first, "b": DONE}) is DONE
 
@@ -97,6 +97,6 @@
     ],
     ids=["never owned", "released for good", "gone for good", "unknown work"],
 )
-def test_error_that_stays_is_told(owner, answers, error):
+def test_persistent_error_is_raised(owner, answers, error):
     with pytest.raises(error):
         ask([owner], answers)
--- a/tests/management/test_pool.py
+++ b/tests/management/test_pool.py
@@ -1,4 +1,4 @@
-"""Operators see pools, hosts and jobs from the store alone."""
+"""The pool commands read pools, hosts and jobs from the store only."""
 
 import pytest
 
@@ -31,15 +31,15 @@
         yield cell
 
 
-def ask(cell, *arguments):
+def run_pool_command(cell, *arguments):
     environment = {"PAPAYAPICK_CONFIG": str(cell.hosts[0].path)}
     return run_command("pool", *arguments, "--json", environment=environment)
 
 
 def test_status_names_owner_queues_and_hosts(cell):
-    ran = ask(cell, "status")
-    assert ran.code == EXIT_OK
-    head, pool, *hosts = ran.lines
+    result = run_pool_command(cell, "status")
+    assert result.code == EXIT_OK
+    head, pool, *hosts = result.lines
     assert head["configuration"] == 1
     assert pool["owner"] == cell.owner().name
     assert (pool["pool"], pool["queues"], pool["is_served"]) == (
@@ -53,12 +53,12 @@
     ]
 
 
-def test_job_tells_how_far_it_is(cell, cluster):
+def test_job_shows_its_progress(cell, cluster):
     assert cell.hosts[0].call("POST", f"/quick/{ID}", job(tasks=2))[0] == 200
     wait_for(lambda: len(cluster.starts()) == 2)
-    ran = wait_for(lambda: _started(ask(cell, "job", ID)))
-    told, step = ran.lines
-    assert (told["status"], told["queue"], told["pool"]) == (
+    result = wait_for(lambda: _result_if_running(run_pool_command(cell, "job", ID)))
+    job_line, step = result.lines
+    assert (job_line["status"], job_line["queue"], job_line["pool"]) == (
         "running",
         "quick",
         "pool-1",
@@ -67,47 +67,47 @@
     assert set(step["places"].values()) <= {"w1", "w2"}
 
 
-def _started(ran):
-    return ran if ran.lines[0]["status"] == "running" else None
+def _result_if_running(result):
+    return result if result.lines[0]["status"] == "running" else None
 
 
-def test_unknown_job_is_told(cell):
-    ran = ask(cell, "job", "0" * 16)
-    assert ran.code == EXIT_FAILED
-    assert "command.job-missing" in ran.err
+def test_unknown_job_is_reported(cell):
+    result = run_pool_command(cell, "job", "0" * 16)
+    assert result.code == EXIT_FAILED
+    assert "command.job-missing" in result.err
 
 
-def test_pool_whose_owner_is_gone_is_told(cluster):
-    # Nobody serves the pool: its row names a host that has no row any more.
+def test_pool_without_its_owner_is_reported(cluster):
+    # The row of the pool names a host that is no longer registered.
     value = {"owner": "h9", "epoch": 4, "address": "127.0.0.1:1"}
     other = Cluster()
     try:
         other.configure()
         other.rows.write("cell", "pool-1", "owner", value)
-        ran = _ask_store(other)
-        assert ran.code == EXIT_PARTLY
-        assert (ran.lines[1]["owner"], ran.lines[1]["is_served"]) == ("h9", False)
+        result = _run_pool_status(other)
+        assert result.code == EXIT_PARTLY
+        assert (result.lines[1]["owner"], result.lines[1]["is_served"]) == ("h9", False)
     finally:
         other.close()
 
 
-def test_store_without_a_configuration_is_told():
+def test_store_without_a_configuration_is_reported():
     other = Cluster()
     try:
-        ran = _ask_store(other)
-        assert ran.code == EXIT_FAILED
-        assert "command.configuration-missing" in ran.err
+        result = _run_pool_status(other)
+        assert result.code == EXIT_FAILED
+        assert "command.configuration-missing" in result.err
     finally:
         other.close()
 
 
-def test_settings_file_that_is_missing_is_told(tmp_path):
+def test_missing_settings_file_is_reported(tmp_path):
     environment = {"PAPAYAPICK_CONFIG": str(tmp_path / "none")}
-    ran = run_command("pool", "status", environment=environment)
-    assert ran.code == EXIT_SETTINGS
+    result = run_command("pool", "status", environment=environment)
+    assert result.code == EXIT_SETTINGS
 
 
-def _ask_store(cluster):
+def _run_pool_status(cluster):
     import tempfile
     from pathlib import Path
 
@@ -125,9 +125,9 @@
 
 
 def test_cell_status_shows_the_pools_of_the_platform(cell):
-    ran = run_on_platform(cell, "cell", "status")
-    assert ran.code == EXIT_OK
-    assert ran.lines == ask(cell, "status").lines
+    result = run_on_platform(cell, "cell", "status")
+    assert result.code == EXIT_OK
+    assert result.lines == run_pool_command(cell, "status").lines
 
 
 def test_explain_names_where_a_job_was_placed(cell, cluster):
@@ -143,7 +143,7 @@
     assert "task 0 on w" in line["reasons"][0]["text"]
 
 
-def test_explain_tells_of_an_unknown_job(cell):
-    ran = run_on_platform(cell, "request", "explain", "2" * 16)
-    assert ran.code == EXIT_FAILED
-    assert "command.job-missing" in ran.err
+def test_explain_reports_an_unknown_job(cell):
+    result = run_on_platform(cell, "request", "explain", "2" * 16)
+    assert result.code == EXIT_FAILED
+    assert "command.job-missing" in result.err
--- a/tests/management/test_program.py
+++ b/tests/management/test_program.py
@@ -1,4 +1,4 @@
-"""Wrong command lines end with exit code 2, refusals with 1, on one line."""
+"""Wrong command lines exit with 2, refusals with 1, with an error of one line."""
 
 import json
 import os
@@ -26,14 +26,14 @@
     [row[1:] for row in WRONG],
     ids=[row[0] for row in WRONG],
 )
-def test_wrong_command_line_is_told(arguments, code, error):
+def test_wrong_command_line_is_reported(arguments, code, error):
     found = run_command(*arguments)
     assert (found.code, found.out) == (code, "")
     assert found.err.startswith(error + ": ")
 
 
 @pytest.mark.parametrize("name", sorted(COMMANDS))
-def test_each_command_explains_itself(name, capsys):
+def test_each_command_has_a_help_page(name, capsys):
     with pytest.raises(SystemExit) as ended:
         run_command(name, "--help")
     assert ended.value.code in (0, None)
@@ -76,9 +76,7 @@
 
 
 @pytest.mark.parametrize("wait", ["x", "-1", "nan", "1e9"])
-def test_wait_that_is_no_time_is_refused_before_anything_is_written(
-    footfall, tmp_path, wait
-):
+def test_invalid_wait_is_refused_before_anything_is_written(footfall, tmp_path, wait):
     signed = _signed(footfall, tmp_path)
     before = in_cell(footfall, "bundle", "status", "--json").lines[0]
     found = in_cell(footfall, "bundle", "roll", signed, f"--wait={wait}")
@@ -101,7 +99,7 @@
     return path
 
 
-def test_reader_that_has_left_gets_no_traceback():
+def test_closed_output_causes_no_traceback():
     reader, writer = os.pipe()
     os.close(reader)
     found = subprocess.run(
--- a/tests/management/test_reasons.py
+++ b/tests/management/test_reasons.py
@@ -1,4 +1,4 @@
-"""Each state of a job of steps has a reason that the store can tell."""
+"""Each state of a job of steps is explained from the store."""
 
 import pytest
 
--- a/tests/management/test_request.py
+++ b/tests/management/test_request.py
@@ -1,4 +1,4 @@
-"""The request commands tell what became of work, and why it waits."""
+"""The request commands show the outcome of work, and why it waits."""
 
 import json
 
@@ -58,7 +58,7 @@
         ({"cancel": False, "--dry-run": False}, WorkQuery),
     ],
 )
-def test_only_a_cancel_that_is_meant_is_sent(given, kind):
+def test_only_a_cancel_without_dry_run_is_sent(given, kind):
     command = RequestCommand({"explain": False, **given}, None)
     assert type(command._message("a.0", "a.0.r")) is kind
 
@@ -89,7 +89,7 @@
         self.promised = promised
 
 
-class FakeDesk:
+class FakeSlotAllocator:
     def __init__(self, *loads):
         self._loads = loads
 
@@ -98,7 +98,7 @@
 
 
 class FakeShard:
-    """Hold what an explanation reads of a shard."""
+    """Hold the attributes of a shard that an explanation reads."""
 
     name = "a.0"
 
@@ -109,7 +109,7 @@
         self.is_closed = closed
         self.needs_confirmation = unconfirmed
         self.journal = FakeJournal(journal)
-        self.slot_allocator = FakeDesk(*loads)
+        self.slot_allocator = FakeSlotAllocator(*loads)
         self.hosts = HostLedger()
         self.hosts.add("w1", Amounts(16000, 65536))
         self.hosts.open("w1")
@@ -169,12 +169,12 @@
     ids=[row[0] for row in EXPLANATIONS],
 )
 def test_explanation_names_the_cause(shard, job, records, codes, text):
-    book = WorkBook()
+    work_index = WorkBook()
     deadline = ManualClock().time() + 60
     accepted = Accepted("r1", "request", "counts", "c", "", "", "d", deadline, True)
     accepted.job = job
     for record in (accepted, *records):
-        book.apply(record)
-    found = explain(shard, book.get("r1"))
+        work_index.apply(record)
+    found = explain(shard, work_index.get("r1"))
     assert [reason.code for reason in found] == codes
     assert text in found[0].text
--- a/tests/management/test_roll.py
+++ b/tests/management/test_roll.py
@@ -1,4 +1,4 @@
-"""A roll shows who acknowledged, and tells truthfully who did not."""
+"""A roll shows which processes acknowledged the bundle, and which did not."""
 
 import base64
 import io
@@ -30,12 +30,12 @@
 
 
 class Processes:
-    """Acknowledge what the head names, as far as each still listens."""
+    """Acknowledge the bundle of the head, except for unreachable processes."""
 
     def __init__(self, table):
         self.table = table
         self.silent = set()
-        self.deaf_once_accepted = set()
+        self.unreachable_after_acceptance = set()
 
     def fetch(self):
         return [
@@ -43,7 +43,7 @@
             for name in NAMES
         ]
 
-    def look(self):
+    def acknowledge_head(self):
         head = read_head(self.table)
         for name in NAMES:
             if name in self.silent:
@@ -51,12 +51,12 @@
             if head.proposal:
                 found = head.proposal
                 acknowledge(self.table, name, found.sequence, found.digest, VERIFIED)
-            elif head.sequence and name not in self.deaf_once_accepted:
+            elif head.sequence and name not in self.unreachable_after_acceptance:
                 acknowledge(self.table, name, head.sequence, head.digest, IN_FORCE)
 
 
-class StepClock(ManualClock):
-    """Advance when waited for, and let the processes look meanwhile."""
+class SteppingClock(ManualClock):
+    """Advance by each wait, and let the processes read the head meanwhile."""
 
     def __init__(self, step):
         super().__init__(1000.0)
@@ -68,14 +68,14 @@
         return event.is_set()
 
 
-class Desk:
-    """Hold a cell of fakes and run the command against it."""
+class RollSetup:
+    """Set up a cell of fakes and run the command against it."""
 
     def __init__(self, folder):
         board = FaultBoard()
         self.table, self.objects = MemoryTable(board), MemoryObjects(board)
         self.processes = Processes(self.table)
-        self.clock = StepClock(self.processes.look)
+        self.clock = SteppingClock(self.processes.acknowledge_head)
         self.path = folder / "signed.json"
         text = (ROOT / "deploy" / "footfall" / "bundle.json").read_text()
         self.envelope = Envelope(Bundle.from_document(json.loads(text)), {})
@@ -115,129 +115,137 @@
 
 
 @pytest.fixture
-def desk(tmp_path):
-    return Desk(tmp_path)
+def roll_setup(tmp_path):
+    return RollSetup(tmp_path)
 
 
-def test_roll_shows_each_process_and_state(desk):
-    assert desk.roll() == 0
-    shown = [(one["host"], one["state"]) for one in desk.lines if "host" in one]
+def test_roll_shows_each_process_and_state(roll_setup):
+    assert roll_setup.roll() == 0
+    shown = [(one["host"], one["state"]) for one in roll_setup.lines if "host" in one]
     assert shown == [(name, state) for state in (VERIFIED, IN_FORCE) for name in NAMES]
-    assert desk.lines[-1]["in_force"] == list(NAMES)
-    assert desk.lines[-1]["not_heard_from"] == []
+    assert roll_setup.lines[-1]["in_force"] == list(NAMES)
+    assert roll_setup.lines[-1]["not_heard_from"] == []
 
 
-def test_process_that_does_not_acknowledge_stops_the_roll(desk):
+def test_process_that_does_not_acknowledge_stops_the_roll(roll_setup):
     """
-    A bundle is in force on some hosts only, and the operator believes it is
-    everywhere. Order: one process is frozen; the others acknowledge.
-    Cause: acceptance without every live process's word.
+    A bundle must not be accepted without an acknowledgement of every live process.
+    Otherwise it could be in force on some hosts only, without the operator's knowledge:
+    here one process is frozen while the others acknowledge.
     """
-    desk.processes.silent = {"placer-a"}
+    roll_setup.processes.silent = {"placer-a"}
     with pytest.raises(NotAcknowledged, match="placer-a"):
-        desk.roll()
-    head = read_head(desk.table)
+        roll_setup.roll()
+    head = read_head(roll_setup.table)
     assert (head.sequence, head.proposal) == (0, None)
-    assert [one["host"] for one in desk.lines] == ["gateway-a"]
+    assert [one["host"] for one in roll_setup.lines] == ["gateway-a"]
 
 
-def test_forced_roll_names_who_was_not_heard_from(desk):
-    desk.processes.silent = {"placer-a"}
-    assert desk.roll(force=True) == 3
-    assert desk.lines[-1]["not_heard_from"] == ["placer-a"]
-    assert read_head(desk.table).sequence == 1
+def test_forced_roll_names_missing_processes(roll_setup):
+    roll_setup.processes.silent = {"placer-a"}
+    assert roll_setup.roll(force=True) == 3
+    assert roll_setup.lines[-1]["not_heard_from"] == ["placer-a"]
+    assert read_head(roll_setup.table).sequence == 1
 
 
-def test_process_lost_after_acceptance_is_named(desk):
-    desk.processes.deaf_once_accepted = {"gateway-a"}
-    assert desk.roll() == 3
-    assert desk.lines[-1]["not_heard_from"] == ["gateway-a"]
+def test_process_lost_after_acceptance_is_named(roll_setup):
+    roll_setup.processes.unreachable_after_acceptance = {"gateway-a"}
+    assert roll_setup.roll() == 3
+    assert roll_setup.lines[-1]["not_heard_from"] == ["gateway-a"]
 
 
-def test_roll_beside_an_open_one_names_its_operator(desk):
-    propose(desk.table, desk.objects, desk.envelope, "ben", desk.clock.time())
+def test_roll_during_an_open_one_names_its_operator(roll_setup):
+    propose(
+        roll_setup.table,
+        roll_setup.objects,
+        roll_setup.envelope,
+        "ben",
+        roll_setup.clock.time(),
+    )
     with pytest.raises(RollUnderWay, match="ben is rolling"):
-        desk.roll()
+        roll_setup.roll()
 
 
-def test_roll_that_lost_the_race_names_the_winner(desk):
+def test_roll_that_lost_the_race_names_the_winner(roll_setup):
     """
-    Two operators believe that their bundle is in force.
-    Order: ana proposes and stalls past the patience with an open proposal; ben
-    proposes and accepts meanwhile; ana goes on.
-    Cause: an acceptance that does not look whose proposal stands.
+    An acceptance must fail if another operator's proposal has replaced its own.
+    Otherwise two operators believe that their bundle is in force: ana proposes and
+    stalls until her proposal lapses, ben proposes and accepts, then ana continues.
     """
-    look = desk.clock.step
-
-    def ben_goes_first():
-        desk.clock.step = look
-        desk.clock.advance(31)
-        now = desk.clock.time()
-        accept(desk.table, propose(desk.table, desk.objects, desk.envelope, "ben", now))
+    read_head_step = roll_setup.clock.step
+
+    def accept_bens_roll():
+        roll_setup.clock.step = read_head_step
+        roll_setup.clock.advance(31)
+        now = roll_setup.clock.time()
+        accept(
+            roll_setup.table,
+            propose(
+                roll_setup.table, roll_setup.objects, roll_setup.envelope, "ben", now
+            ),
+        )
 
-    desk.clock.step = ben_goes_first
+    roll_setup.clock.step = accept_bens_roll
     with pytest.raises(RollConflict, match="ben won"):
-        desk.roll(force=True)
-    assert read_head(desk.table).operator == "ben"
+        roll_setup.roll(force=True)
+    assert read_head(roll_setup.table).operator == "ben"
 
 
-def test_interrupted_roll_leaves_no_open_proposal(desk):
+def test_interrupted_roll_leaves_no_open_proposal(roll_setup):
     """
-    Another operator's urgent roll is refused for half a minute.
-    Order: ana's roll waits for a silent process; she ends it at the keyboard.
-    Cause: her proposal stays open until it lapses.
+    An interrupted roll must withdraw its proposal. Otherwise it stays open until it
+    lapses, and other operators' rolls are refused for half a minute.
     """
 
     def interrupt():
         raise KeyboardInterrupt
 
-    desk.clock.step = interrupt
+    roll_setup.clock.step = interrupt
     with pytest.raises(RollInterrupted):
-        desk.roll()
-    assert read_head(desk.table).proposal is None
+        roll_setup.roll()
+    assert read_head(roll_setup.table).proposal is None
 
 
-def test_outage_after_the_acceptance_is_not_told_as_a_failure(desk):
+def test_outage_after_the_acceptance_is_not_reported_as_a_failure(roll_setup):
     """
-    An operator is told that a roll failed, and it is in force.
-    Order: the bundle is accepted; the table goes down while words come in.
-    Cause: an error of the look in place of "not heard from".
+    A roll must not be reported as failed while its bundle is in force. If the table
+    goes down after the acceptance, the processes count as not heard from.
     """
-    look = desk.clock.step
+    read_head_step = roll_setup.clock.step
 
-    def look_until_accepted():
-        look()
-        if read_head(desk.table).sequence:
-            desk.table.board.set("table", "down")
-            desk.clock.step = lambda: None
+    def stop_table_after_acceptance():
+        read_head_step()
+        if read_head(roll_setup.table).sequence:
+            roll_setup.table.board.set("table", "down")
+            roll_setup.clock.step = lambda: None
 
-    desk.processes.deaf_once_accepted = set(NAMES)
-    desk.clock.step = look_until_accepted
-    assert desk.roll() == 3
-    assert desk.lines[-1]["not_heard_from"] == list(NAMES)
-    desk.table.board.clear()
-    assert read_head(desk.table).sequence == 1
+    roll_setup.processes.unreachable_after_acceptance = set(NAMES)
+    roll_setup.clock.step = stop_table_after_acceptance
+    assert roll_setup.roll() == 3
+    assert roll_setup.lines[-1]["not_heard_from"] == list(NAMES)
+    roll_setup.table.board.clear()
+    assert read_head(roll_setup.table).sequence == 1
 
 
-def test_acceptance_without_an_answer_is_told_as_unknown(desk):
+def test_acceptance_without_an_answer_is_reported_as_unknown(roll_setup):
     """
-    An operator repeats a roll that took effect, or believes one that did not.
-    Order: all acknowledge; the table takes the acceptance and answers no more.
-    Cause: a lost answer told as a refusal.
+    A lost answer to the acceptance must not be reported as a refusal. Otherwise the
+    operator repeats a roll that took effect: here the table applies the acceptance and
+    then stops answering.
     """
-    transact, read = desk.table.transact, desk.table.read
+    transact, read = roll_setup.table.transact, roll_setup.table.read
 
-    def answer_no_more(*ignored):
+    def fail_call(*ignored):
         raise TableUnavailable()
 
-    def lose_the_acceptance(conditions, writes):
+    def apply_acceptance_without_answer(conditions, writes):
         transact(conditions, writes)
         if writes[0].key == HEAD_KEY and not writes[0].value["proposal"]:
-            desk.table.read = desk.table.transact = answer_no_more
-            answer_no_more()
+            roll_setup.table.read = roll_setup.table.transact = fail_call
+            fail_call()
 
-    desk.table.transact = lose_the_acceptance
+    roll_setup.table.transact = apply_acceptance_without_answer
     with pytest.raises(RollUnsettled, match="not known"):
-        desk.roll()
-    desk.table.read, desk.table.transact = read, transact
-    assert read_head(desk.table).sequence == 1
+        roll_setup.roll()
+    roll_setup.table.read, roll_setup.table.transact = read, transact
+    assert read_head(roll_setup.table).sequence == 1
--- a/tests/management/test_waits.py
+++ b/tests/management/test_waits.py
@@ -1,4 +1,4 @@
-"""``logs waits`` sums up what steps waited for."""
+"""``logs waits`` sums up the waits of steps by queue and reason."""
 
 import json
 
@@ -35,7 +35,7 @@
     _line(3.6, "step waits", **_step(reason="advice", waited_seconds=0.6)),
     _line(4.0, "step waits", **_step(reason="room", waited_seconds=1.0)),
     _line(6.0, "step placed", **_step(left=0, waited_seconds=3.0)),
-    # A run failed two seconds later; what it waits from then on counts.
+    # A run fails two seconds later; the step waits again from then on.
     _line(8.0, "run ended", **_step(outcome="failed")),
     _line(8.5, "step placed", **_step(left=0, waited_seconds=5.5)),
     _line(9.0, "step placed", **_step(1, left=1, waited_seconds=0.2)),
@@ -46,8 +46,8 @@
 def _waits(tmp_path, lines, *options):
     path = tmp_path / "host.log"
     path.write_text("\n".join(lines))
-    ran = run_command("logs", "waits", path, *options)
-    return ran.code, ran.out, ran.err
+    result = run_command("logs", "waits", path, *options)
+    return result.code, result.out, result.err
 
 
 def _found(tmp_path, lines, *options):
@@ -85,7 +85,7 @@
     ]
 
 
-def test_wait_that_goes_on_at_the_end_of_the_logs_counts(tmp_path):
+def test_open_wait_at_the_end_of_the_logs_counts(tmp_path):
     lines = [
         _line(1.0, "step waits", **_step(reason="turn", waited_seconds=0.5)),
         _line(3.0, "step waits", **_step(1, reason="room", waited_seconds=0.5)),
@@ -111,7 +111,7 @@
 
 
 def test_wait_over_several_days_has_its_length(tmp_path):
-    """Days that pass within one wait must not fall out of its length."""
+    """Whole days within a wait must count in its length."""
     lines = [
         _line_at("2026-02-27 18:00:00.000", "job accepted"),
         _line_at("2026-03-01 06:00:00.000", "job taken in", queue="reports"),
@@ -126,7 +126,7 @@
 
 
 def test_same_time_of_two_days_is_two_spans(tmp_path):
-    """Waits of two days must not be added up under one time of day."""
+    """Waits on two days must not be added up by their time of day."""
     lines = [
         _line_at("2026-03-11 10:49:01.000", "step placed", **_PLACED),
         _line_at("2026-03-12 10:49:01.000", "step placed", **_PLACED),
@@ -139,7 +139,7 @@
 
 
 def test_quiet_year_between_two_waits_is_skipped(tmp_path):
-    """Logs of several days must not be summed up for each second without a wait."""
+    """Spans without a wait must be skipped, as logs may cover several days."""
     lines = [
         _line_at("2025-03-11 10:49:01.000", "step placed", **_PLACED),
         _line_at("2026-03-11 10:49:01.000", "step placed", **_PLACED),
@@ -151,8 +151,8 @@
     ]
 
 
-def test_job_taken_in_before_it_was_accepted_is_told(tmp_path):
-    """A clock that is behind must not hide a wait of less than nothing."""
+def test_job_taken_in_before_its_acceptance_is_reported(tmp_path):
+    """A negative wait, due to a clock that is behind, must be reported."""
     lines = [*_REVERSED, _line(2.0, "step placed", **_PLACED)]
     _, found = _found(tmp_path, lines)
     assert found[-1] == {"reversed_jobs": 1, "longest_reversed_seconds": 0.3}
@@ -161,15 +161,15 @@
     assert "lines of 1 jobs stand in reverse order, by up to 0.30 s" in output
 
 
-def test_only_reversed_waits_are_told(tmp_path):
-    """Logs whose waits are all reversed must not be called logs without a wait."""
+def test_logs_with_only_reversed_waits_are_summed(tmp_path):
+    """Logs with only reversed waits must not be reported as logs without waits."""
     code, found = _found(tmp_path, _REVERSED)
     assert code == EXIT_OK
     assert found == [{"reversed_jobs": 1, "longest_reversed_seconds": 0.3}]
 
 
 def test_lines_of_the_same_millisecond_are_not_reversed(tmp_path):
-    """Which of two files was named first must not be taken for a clock's fault."""
+    """The order of the named files must not be reported as a reversal."""
     lines = [
         _line(1.0, "job taken in", queue="reports"),
         _line(1.0, "job accepted"),
@@ -180,7 +180,7 @@
 
 
 def test_late_acceptance_begins_no_wait_for_a_later_owner(tmp_path):
-    """A job taken in already must not wait for an owner until the next takeover."""
+    """A job that an owner has read must not wait for one until the next takeover."""
     lines = [
         *_REVERSED,
         _line(9.0, "job taken in", queue="reports"),
@@ -191,7 +191,7 @@
 
 
 def test_late_lines_of_a_job_that_ended_open_no_wait(tmp_path):
-    """A line of a clock that is ahead must not make a job wait after its end."""
+    """A line of a clock that is ahead must not begin a wait after the job's end."""
     lines = [
         *LINES,
         _line(11.2, "step waits", **_step(1, reason="room", waited_seconds=2.0)),
@@ -203,19 +203,19 @@
 
 
 def test_lines_out_of_order_give_the_same_sums(tmp_path):
-    """Lines that stand in a file in another order must not change a wait."""
+    """The order of lines in a file must not change the sums."""
     in_order = _found(tmp_path, LINES, "--every=3")
     assert _found(tmp_path, LINES[::-1], "--every=3") == in_order
 
 
-def test_logs_without_a_wait_are_told(tmp_path):
+def test_logs_without_a_wait_are_reported(tmp_path):
     code, _, problem = _waits(tmp_path, LINES[:1])
     assert code == EXIT_FAILED
     assert "command.no-wait-logged" in problem
 
 
 @pytest.mark.parametrize("given", ["0", "-1", "half"])
-def test_span_that_is_no_length_is_refused(tmp_path, given):
+def test_invalid_span_is_refused(tmp_path, given):
     code, _, problem = _waits(tmp_path, LINES, f"--every={given}")
     assert code == EXIT_FAILED
     assert "command.span-invalid" in problem
