--- a/papayapick/checks/__init__.py
+++ b/papayapick/checks/__init__.py
@@ -1,4 +1,4 @@
-"""System checks with ids and hints, a module for each concern."""
+"""System checks, whose findings have an id and a hint; one module per concern."""
 
 from papayapick.checks import (
     bundles,
--- a/papayapick/checks/context.py
+++ b/papayapick/checks/context.py
@@ -1,4 +1,4 @@
-"""Hold what the checks look at."""
+"""Define the input of the checks."""
 
 import json
 import os
@@ -25,16 +25,16 @@
 
 
 class CheckContext:
-    """Read settings and platform at the first use, once for all checks.
+    """Read settings and platform on first use, once for all checks.
 
     Parameters
     ----------
     bundles : sequence of str
         Paths of bundle documents.
     is_deployed : bool
-        Whether settings and platform are looked at.
+        Whether settings and platform are read.
     environment : dict, optional
-        Defaults to the process's own.
+        The environment of the process by default.
     clock : Clock, optional
     """
 
@@ -46,7 +46,7 @@
 
     @cached_property
     def settings(self):
-        """Return the operator's settings, None where they are wrong."""
+        """Return the operator's settings, None if they are invalid or not checked."""
         if not self.is_deployed:
             return None
         try:
@@ -56,22 +56,22 @@
 
     @cached_property
     def pool(self):
-        """Return the connections to the platform."""
+        """Return the pool of HTTP connections to the platform."""
         return HttpPool(self.settings.platform_timeout_seconds)
 
     @cached_property
     def table(self):
-        """Return the table service."""
+        """Return the client of the table service."""
         return Table(self.settings.table_url, self.pool)
 
     @cached_property
     def objects(self):
-        """Return the object store."""
+        """Return the client of the object store."""
         return ObjectStore(self.settings.objects_url, self.pool)
 
     @cached_property
     def entries(self):
-        """Return the live list, None where it is not looked at or silent."""
+        """Return the live list, None if it is not checked or does not answer."""
         if self.settings is None:
             return None
         try:
@@ -81,7 +81,7 @@
 
     @cached_property
     def bundle_in_force(self):
-        """Return the accepted bundle, None where there is none to be seen."""
+        """Return the accepted bundle, None if there is none or it can't be read."""
         if self.settings is None:
             return None
         try:
@@ -95,7 +95,7 @@
 
     @cached_property
     def compared_bundle(self):
-        """Return the named bundle, or without one that in force, or None."""
+        """Return the first named bundle, else the accepted one; None if unreadable."""
         for path in self.bundles:
             try:
                 return read_bundle(path)
@@ -105,7 +105,7 @@
 
 
 def read_bundle(path):
-    """Return the bundle of a file, signed or not.
+    """Return the bundle in a file, signed or unsigned.
 
     Raises
     ------
--- a/papayapick/checks/findings.py
+++ b/papayapick/checks/findings.py
@@ -1,4 +1,4 @@
-"""Describe what a check found."""
+"""Describe the findings of checks."""
 
 __all__ = ["ERROR", "WARNING", "Finding"]
 
@@ -12,7 +12,7 @@
     Parameters
     ----------
     identifier : str
-        Stable, such as ``bundle.E001``; E is an error, W a warning.
+        Stable id, such as ``bundle.E001``; E marks an error, W a warning.
     message : str
     hint : str
 
@@ -37,11 +37,11 @@
 
     @property
     def is_error(self):
-        """Return whether the finding must be mended."""
+        """Return whether the finding is an error, which must be fixed."""
         return self.level == ERROR
 
     def as_mapping(self):
-        """Return the finding for programs."""
+        """Return its fields as a dict for JSON."""
         return {
             "id": self.identifier,
             "level": self.level,
--- a/papayapick/checks/keys.py
+++ b/papayapick/checks/keys.py
@@ -1,4 +1,4 @@
-"""Check the files with keys; their text is never shown."""
+"""Check the key files, without showing their contents."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 @register
 def check_cell_key(context):
-    """Find a cell key that is wrong, or that others can read."""
+    """Find a cell key that is invalid or readable by other users."""
     settings = context.settings
     if settings is None:
         return
@@ -29,20 +29,20 @@
     if _mode(settings.cell_key) & _OTHERS_READ:
         yield Finding(
             "keys.W001",
-            f"{settings.cell_key} can be read by others than its owner",
-            "whoever reads it can place work: chmod 600, then rotate it",
+            f"{settings.cell_key} can be read by users other than its owner",
+            "with this key anyone can submit work: chmod 600, then rotate it",
         )
     if len(keys) > 1:
         yield Finding(
             "keys.W002",
             f"{len(keys)} cell keys are accepted",
-            "a rotation is under way; finish it: docs/howto/rotate-keys.md",
+            "a key rotation is in progress; finish it: docs/howto/rotate-keys.md",
         )
 
 
 @register
 def check_operator_keys(context):
-    """Find operators' keys that are wrong, or that others can change."""
+    """Find operators' keys that are invalid or writable by other users."""
     settings = context.settings
     if settings is None:
         return
@@ -56,14 +56,14 @@
     if _mode(settings.operator_keys) & _OTHERS_WRITE:
         yield Finding(
             "keys.E003",
-            f"{settings.operator_keys} can be changed by others than its owner",
-            "whoever adds a key can sign bundles: chmod 644",
+            f"{settings.operator_keys} can be changed by users other than its owner",
+            "anyone who adds a key can sign bundles: chmod 644",
         )
     if count == settings.required_signatures:
         yield Finding(
             "keys.W003",
             f"all {count} operators must sign each bundle",
-            "one lost key would stop every roll; add an operator",
+            "a single lost key would block all rolls; add an operator",
         )
 
 
--- a/papayapick/checks/package.py
+++ b/papayapick/checks/package.py
@@ -1,4 +1,4 @@
-"""Check the installed package itself."""
+"""Check the installed package."""
 
 from papayapick.checks.findings import Finding
 from papayapick.checks.queries import register
@@ -12,19 +12,23 @@
 
 @register
 def check_defaults(context):
-    """Find defaults outside their own range."""
+    """Find default settings outside their allowed range."""
     for setting in SETTINGS:
         if setting.kind in ("integer", "number") and setting.default is not None:
             try:
                 setting.parse(str(setting.default))
             except SettingsError as error:
-                yield Finding("package.E001", str(error), "mend conf/defaults.py")
+                yield Finding("package.E001", str(error), "fix conf/defaults.py")
 
 
 @register
 def check_schema(context):
-    """Find a message schema that does not carry its classes."""
+    """Find a message schema that loses a field in encoding and decoding."""
     query = WorkQuery(shard="zone.0", request_id="r")
     _, payload, _ = decode(encode(1, query))
     if payload.request_id != query.request_id:
-        yield Finding("package.E002", "a message is not carried", "reinstall")
+        yield Finding(
+            "package.E002",
+            "a message loses a field when it is encoded and decoded",
+            "reinstall",
+        )
--- a/papayapick/checks/processes.py
+++ b/papayapick/checks/processes.py
@@ -1,4 +1,4 @@
-"""Check that the processes of the live list answer under the cell key."""
+"""Check that the processes of the live list answer with the cell key."""
 
 import getpass
 
@@ -14,7 +14,7 @@
 
 @register
 def check_processes(context):
-    """Find processes that are silent, or that run another bundle."""
+    """Find processes that do not answer, or that run another bundle."""
     if context.settings is None or context.entries is None:
         return
     try:
@@ -22,22 +22,22 @@
             context.settings, context.entries, getpass.getuser()
         )
     except CellKeyInvalid:
-        # Told by the check of the keys.
+        # check_cell_key reports this.
         return
     with peers:
         heartbeats = peers.heartbeats()
-    sequence = _sequence_of(context)
+    sequence = _accepted_sequence(context)
     for name, heartbeat in sorted(heartbeats.items()):
         if heartbeat is None:
             message = f"{name} is on the live list and does not answer"
-            hint = "look at the process, its peer address and its cell key"
+            hint = "check the process, its peer address and its cell key"
             yield Finding("process.W001", message, hint)
         elif sequence is not None and heartbeat.bundle_sequence != sequence:
             message = f"{name} runs bundle {heartbeat.bundle_sequence}, not {sequence}"
-            yield Finding("process.W002", message, "look again, then at its log")
+            yield Finding("process.W002", message, "check again, then read its log")
 
 
-def _sequence_of(context):
+def _accepted_sequence(context):
     try:
         return read_head(context.table).sequence
     except TableUnavailable:
--- a/papayapick/checks/queries.py
+++ b/papayapick/checks/queries.py
@@ -8,7 +8,7 @@
 
 
 def register(check):
-    """Add a check; it takes the surroundings and yields findings."""
+    """Register a check, a callable that takes a CheckContext and yields findings."""
     _CHECKS.append(check)
     return check
 
@@ -21,14 +21,14 @@
     bundles : sequence of str
         Paths of bundle documents.
     is_deployed : bool
-        Look at settings and reach the platform.
+        Whether to check settings, keys and the platform too.
     environment : dict, optional
-        Defaults to the process's own.
+        The environment of the process by default.
     clock : Clock, optional
 
     Returns
     -------
     list of Finding
     """
-    found = CheckContext(bundles, is_deployed, environment, clock)
-    return [finding for check in _CHECKS for finding in check(found)]
+    context = CheckContext(bundles, is_deployed, environment, clock)
+    return [finding for check in _CHECKS for finding in check(context)]
--- a/tests/checks/test_checks.py
+++ b/tests/checks/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check finds its mistake, names it by id and gives a hint."""
+"""Each check finds its mistake and reports it with an id and a hint."""
 
 import base64
 import json
@@ -56,7 +56,7 @@
     ("bad", {"PAPAYAPICK_PLATFORM_TIMEOUT_SECONDS": "x"}, ["settings.E001"]),
     ("bad of a daemon", {"PAPAYAPICK_HTTP_THREADS": "x"}, ["settings.E002"]),
     ("misspelt", {"PAPAYAPICK_POL_SECONDS": "1"}, ["settings.W001"]),
-    ("hasty death", {"PAPAYAPICK_DEAD_AFTER_SECONDS": "1"}, ["settings.E003"]),
+    ("short death", {"PAPAYAPICK_DEAD_AFTER_SECONDS": "1"}, ["settings.E003"]),
     ("long grant", {"PAPAYAPICK_GRANT_SECONDS": "5"}, ["settings.W002"]),
     ("short lease", {"PAPAYAPICK_TASK_LEASE_SECONDS": "1"}, ["settings.W003"]),
     ("nothing wrong", {}, []),
@@ -78,7 +78,7 @@
     assert [one for check in checks for one in ids(check(found))] == expected
 
 
-def test_misspelt_variable_is_told_its_nearest():
+def test_hint_names_the_nearest_variable():
     found = CheckContext([], True, {"PAPAYAPICK_POL_SECONDS": "1"})
     (finding,) = settings.check_variables(found)
     assert "PAPAYAPICK_POLL_SECONDS" in finding.hint
@@ -163,7 +163,7 @@
     )
 
 
-def _whole_list():
+def _complete_list():
     places = [("hobart-a", "south-tas"), ("kingston-b", "south-tas")]
     places.append(("launceston-a", "north-tas"))
     found = [
@@ -186,8 +186,12 @@
 
 LISTS = [
     ("whole", lambda entries: entries, []),
-    ("service bare", _without("instance", service="quick-counts"), ["bundle.W001"]),
-    ("zone bare", _without("placer", "kingston-b"), ["bundle.W003"]),
+    (
+        "service without instance",
+        _without("instance", service="quick-counts"),
+        ["bundle.W001"],
+    ),
+    ("zone without placer", _without("placer", "kingston-b"), ["bundle.W003"]),
     ("no gateway", _without("gateway", "launceston-a"), ["bundle.W004"]),
     ("no workers", _without("worker"), ["bundle.W005"]),
     (
@@ -221,7 +225,7 @@
 )
 def test_bundle_and_live_list_are_compared(change, expected):
     found = CheckContext([BUNDLE])
-    found.entries = change(_whole_list())
+    found.entries = change(_complete_list())
     checks = (bundles.check_services, bundles.check_hosts, bundles.check_teams)
     assert [one for check in checks for one in ids(check(found))] == expected
 
@@ -247,7 +251,7 @@
     ("within a second", formatdate(NOW - 2, usegmt=True), []),
     ("ahead", formatdate(NOW - 60, usegmt=True), ["clock.W001"]),
     ("behind", formatdate(NOW + 60, usegmt=True), ["clock.W001"]),
-    ("not told", None, []),
+    ("no date", None, []),
     ("silent", "silent", []),
 ]
 
@@ -282,14 +286,14 @@
     ),
     (
         "table ahead",
-        lambda environment, found: setattr(found, "table", Ahead()),
+        lambda environment, found: setattr(found, "table", TableAhead()),
         ["process.W002"] * 6,
     ),
 ]
 
 
-class Ahead:
-    """Hold a head that no process has heard of."""
+class TableAhead:
+    """Hold a head with a sequence that no process has received."""
 
     def read(self, key):
         value = {"sequence": 99, "digest": "d", "operator": "ana", "proposal": None}
@@ -301,7 +305,7 @@
     [row[1:] for row in PROCESSES],
     ids=[row[0] for row in PROCESSES],
 )
-def test_processes_are_asked_under_the_key(footfall, tmp_path, change, expected):
+def test_processes_are_queried_with_the_cell_key(footfall, tmp_path, change, expected):
     key = tmp_path / "cell.key"
     environment = footfall._environment()
     key.write_bytes(Path(environment["PAPAYAPICK_CELL_KEY"]).read_bytes())
@@ -315,11 +319,11 @@
     found = in_cell(footfall, "check", "--deploy", "--json")
     assert found.code == 0, found.out
     assert found.lines[-1]["errors"] == 0
-    # Two operators stand for k of n in the tests, so that both must sign.
+    # The cell of the tests has only two operators, so both must sign.
     assert {one["id"] for one in found.lines[:-1]} <= {"keys.W003"}
 
 
-def test_check_ends_with_1_where_it_finds_an_error(tmp_path):
+def test_check_exits_with_1_if_it_finds_an_error(tmp_path):
     found = run_command("check", str(tmp_path / "absent"), "--json")
     assert (found.code, found.lines[0]["id"]) == (1, "bundle.E001")
 
@@ -330,13 +334,13 @@
     shown = {line["name"]: (line["value"], line["source"]) for line in found.lines}
     assert shown["poll_seconds"] == (2.0, "environment")
     assert shown["grant_seconds"] == (0.5, "default")
-    # The file is named, its text is not shown.
+    # The file is named, its contents are not shown.
     assert shown["cell_key"][0].endswith("cell.key")
     assert KEY.decode() not in found.out
 
 
 def _environment(folder):
-    """Return an environment that is right but for a platform that is not there."""
+    """Return a valid environment in which only the platform does not answer."""
     cell_key, operators = folder / "cell.key", folder / "operators.json"
     cell_key.write_bytes(KEY)
     cell_key.chmod(0o600)
--- a/tests/checks/test_deployment.py
+++ b/tests/checks/test_deployment.py
@@ -1,4 +1,4 @@
-"""Mistakes in what the users' platform is given are found before a day is lost."""
+"""Mistakes in the files for the users' platform are found before a run."""
 
 import pytest
 
@@ -67,7 +67,7 @@
     assert ids(deployment.check_days(None, tmp_path)) == expected
 
 
-def test_settings_file_is_looked_at_where_one_is_named(tmp_path):
+def test_settings_file_is_checked_if_one_is_named(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text("node = 7")
     named = CheckContext(environment={"PAPAYAPICK_CONFIG": str(path)})
