--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -92,7 +92,7 @@
         self._open_peers()
 
     @property
-    def is_stopping(self):
+    def stop_event(self):
         """Return the event that ends every loop."""
         return self._stopping
 
--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -92,7 +92,7 @@
             except PeerRefused as error:
                 if not has_moved(error) or clock.monotonic() >= give_up:
                     raise
-            clock.wait(self._process.is_stopping, MOVED_WAIT_SECONDS)
+            clock.wait(self._process.stop_event, MOVED_WAIT_SECONDS)
 
     def _shard_of(self, request_id):
         shard = request_id.rpartition(".")[0]
--- a/papayapick/gateway/submission.py
+++ b/papayapick/gateway/submission.py
@@ -114,7 +114,7 @@
                 last = error
             if clock.monotonic() >= self._give_up:
                 return self._without_owner(last)
-            clock.wait(self._process.is_stopping, MOVED_WAIT_SECONDS)
+            clock.wait(self._process.stop_event, MOVED_WAIT_SECONDS)
 
     def _without_owner(self, last):
         request_id = self._admitted.request_id
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -125,7 +125,7 @@
 
     def _may_move(self, attempts, moves):
         clock = self._process.clock
-        clock.wait(self._process.is_stopping, _MOVED_WAIT_SECONDS)
+        clock.wait(self._process.stop_event, _MOVED_WAIT_SECONDS)
         return moves < _SLOT_TRIES and clock.monotonic() < attempts.deadline
 
     @staticmethod
@@ -229,7 +229,7 @@
                     raise
                 if number + 1 == _SLOT_TRIES:
                     raise
-            clock.wait(self._process.is_stopping, _MOVED_WAIT_SECONDS)
+            clock.wait(self._process.stop_event, _MOVED_WAIT_SECONDS)
             if clock.monotonic() >= attempts.deadline:
                 break
         raise DeadlineOver(service=admitted.name)
--- a/papayapick/placer/process.py
+++ b/papayapick/placer/process.py
@@ -142,11 +142,11 @@
         deadline = clock.monotonic() + process.settings.drain_seconds
         while self.shards and clock.monotonic() < deadline:
             self._handover.hand_over_idle_shards()
-            clock.wait(process.is_stopping, _POLL_SECONDS)
+            clock.wait(process.stop_event, _POLL_SECONDS)
         for shard in self.shards:
             self._handover.hand_over(shard, force=True)
         if self._handover.summaries():
-            clock.wait(process.is_stopping, self._handover.forward_seconds)
+            clock.wait(process.stop_event, self._handover.forward_seconds)
         self._health.close()
         process.close()
 
--- a/papayapick/placer/requests.py
+++ b/papayapick/placer/requests.py
@@ -209,5 +209,5 @@
             except ObjectsUnavailable:
                 # The work has run, so its result must survive an outage of the
                 # object store.
-                if self._process.clock.wait(self._process.is_stopping, 0.5):
+                if self._process.clock.wait(self._process.stop_event, 0.5):
                     raise
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -188,7 +188,7 @@
             executor=ThreadPoolExecutor(40),
             generator=random.Random(7),
             is_draining=False,
-            is_stopping=threading.Event(),
+            stop_event=threading.Event(),
             objects=ObjectStore(URL + "/objects", self.pool),
             pauses=PauseGuard(cell.clock, 1e9),
             peers=SimpleNamespace(entries=HostList(URL + "/hosts", self.pool).fetch()),
@@ -304,7 +304,7 @@
     def end(self):
         """Drop the process: none of its threads does anything any more."""
         self.pool.dead.set()
-        self.process.is_stopping.set()
+        self.process.stop_event.set()
         shards = {self.shard, *self.owner.shards, *self._closed} - {None}
         for shard in shards:
             shard.journal.close()
--- a/tests/gateway/test_submission.py
+++ b/tests/gateway/test_submission.py
@@ -42,7 +42,7 @@
     clock = SteppingClock()
     process = SimpleNamespace(
         clock=clock,
-        is_stopping=None,
+        stop_event=None,
         peers=SimpleNamespace(owner_of=lambda shard: SimpleNamespace(client=client)),
         tracing=SimpleNamespace(traceparent=lambda: ""),
     )
--- a/tests/gateway/test_urgent.py
+++ b/tests/gateway/test_urgent.py
@@ -93,7 +93,7 @@
         process = SimpleNamespace(
             clock=self.clock,
             tracing=tracing,
-            is_stopping=stopping,
+            stop_event=stopping,
             metrics=SimpleNamespace(
                 wait_seconds=SimpleNamespace(labels=lambda name: observer)
             ),
--- a/tests/spec/test_journal_replay.py
+++ b/tests/spec/test_journal_replay.py
@@ -72,7 +72,7 @@
             settings=SimpleNamespace(journal_linger_seconds=0.0),
             pauses=PauseGuard(self.clock, 1.0),
             watcher=SimpleNamespace(bundle=SimpleNamespace(services=POLICIES)),
-            is_stopping=threading.Event(),
+            stop_event=threading.Event(),
         )
         row = claim(table, read_shard(table, SHARD), owner)
         bucket = TokenBucket(1000, 1000, self.clock)
