--- a/papayapick/daemon/health.py
+++ b/papayapick/daemon/health.py
@@ -2,12 +2,12 @@
 
 from papayapick.listening import create_listener
 
-__all__ = ["HealthServer", "health_answer"]
+__all__ = ["HealthServer", "health_response"]
 
 _TEXT = "text/plain; charset=utf-8"
 
 
-def health_answer(path, process, is_ready):
+def health_response(path, process, is_ready):
     """Return status line, content type and body, or None for another path.
 
     Parameters
@@ -58,7 +58,7 @@
         self._server.close()
 
     def _answer(self, environ, start_response):
-        found = health_answer(environ["PATH_INFO"], self._process, self._is_ready)
+        found = health_response(environ["PATH_INFO"], self._process, self._is_ready)
         status, kind, body = found or ("404 Not Found", _TEXT, b"")
         headers = [("Content-Type", kind), ("Content-Length", str(len(body)))]
         start_response(status, headers)
--- a/papayapick/gateway/application.py
+++ b/papayapick/gateway/application.py
@@ -5,7 +5,7 @@
 import uuid
 
 from papayapick.bundle import BundleMissing
-from papayapick.daemon.health import health_answer
+from papayapick.daemon.health import health_response
 from papayapick.exceptions import PapayapickError
 from papayapick.gateway.admission import admit
 from papayapick.gateway.dispatcher import arrived_at, is_refused
@@ -63,7 +63,7 @@
 
     def __call__(self, environ, start_response):
         """Answer one request as WSGI demands."""
-        found = health_answer(environ["PATH_INFO"], self._process, self.is_ready)
+        found = health_response(environ["PATH_INFO"], self._process, self.is_ready)
         if found is not None:
             status, kind, body = found
             return self._send(start_response, status, Answer(200, kind, body))
--- a/tests/bundle/test_rolls.py
+++ b/tests/bundle/test_rolls.py
@@ -9,7 +9,7 @@
 from papayapick.bundle.commands import PROPOSAL_SECONDS, accept, withdraw
 from papayapick.bundle.queries import fetch_envelope, read_head
 from papayapick.clients import TableUnavailable, TransactionConflict
-from tests.bundle.parts import Cell
+from tests.bundle.simulation import Cell
 from tests.fakes.scripted import DONE_UNANSWERED, LATE, UNDONE_UNANSWERED
 
 REGIONS = [
--- a/tests/bundle/test_watching.py
+++ b/tests/bundle/test_watching.py
@@ -5,7 +5,7 @@
 from papayapick.bundle.exceptions import BundleUnconfirmed
 from papayapick.bundle.heads import IN_FORCE, VERIFIED
 from papayapick.bundle.queries import read_acknowledgements
-from tests.bundle.parts import Cell, freeze, tick
+from tests.bundle.simulation import Cell, freeze, tick
 
 
 @pytest.fixture
