--- a/papayapick/bundle/__init__.py
+++ b/papayapick/bundle/__init__.py
@@ -1,4 +1,4 @@
-"""The signed, versioned document that steers a cell."""
+"""Signed and versioned configuration documents (bundles) of a cell."""
 
 from papayapick.bundle.documents import Bundle, JobPolicy, ServicePolicy
 from papayapick.bundle.exceptions import (
--- a/papayapick/bundle/documents.py
+++ b/papayapick/bundle/documents.py
@@ -1,4 +1,4 @@
-"""Check a bundle document and give typed access to its policies."""
+"""Validate bundle documents and provide typed access to their policies."""
 
 import hashlib
 import json
@@ -21,7 +21,7 @@
 
 
 def canonical(document):
-    """Return the one form of a document that is signed and digested.
+    """Return the canonical JSON of a document, which is signed and digested.
 
     Parameters
     ----------
@@ -44,8 +44,8 @@
 class ServicePolicy:
     """Hold the policy of one service.
 
-    Times are in seconds. ``run_seconds`` is the upper bound of one run, after
-    which a call whose end was never proved counts as over.
+    Times are in seconds. ``run_seconds`` is the upper bound of one run; a call whose
+    outcome is still unknown after that time is treated as ended.
     """
 
     __slots__ = (
@@ -126,12 +126,12 @@
 
 
 class Bundle:
-    """Hold a checked bundle.
+    """Represent a valid bundle.
 
     Parameters
     ----------
     document : dict
-        Checked against the schema.
+        Valid against the schema.
     """
 
     __slots__ = ("_digest", "_document", "_jobs", "_services")
@@ -140,24 +140,27 @@
         self._document = document
         self._digest = hashlib.sha256(canonical(document)).hexdigest()
         self._services = {
-            found["name"]: ServicePolicy(**found) for found in document["services"]
-        }
-        self._jobs = {
-            found["name"]: JobPolicy(**found) for found in document.get("jobs", ())
+            service["name"]: ServicePolicy(**service)
+            for service in document["services"]
         }
+        self._jobs = {job["name"]: JobPolicy(**job) for job in document.get("jobs", ())}
 
     @classmethod
     def from_document(cls, document):
-        """Check a document and return its bundle.
+        """Validate a document and return its bundle.
 
         Raises
         ------
         BundleInvalid
-            Names the first place that is wrong.
+            The error names the path of the first violation.
         """
-        errors = sorted(_VALIDATOR.iter_errors(document), key=lambda e: list(e.path))
+        errors = sorted(
+            _VALIDATOR.iter_errors(document), key=lambda error: list(error.path)
+        )
         if errors:
-            place = "/".join(str(part) for part in errors[0].path) or "the top"
+            place = (
+                "/".join(str(part) for part in errors[0].path) or "the document root"
+            )
             raise BundleInvalid(place=place, reason=errors[0].message[:200])
         _check_names(document)
         _check_topology(document["topology"])
@@ -180,23 +183,23 @@
 
     @property
     def store_region(self):
-        """Return the region the platform's store stands in."""
+        """Return the region of the platform's store."""
         return self._document["topology"]["store_region"]
 
     @property
     def shards_per_zone(self):
-        """Return how many shards the hosts of a zone fall into."""
+        """Return the number of shards that the hosts of a zone are divided into."""
         return self._document["topology"]["shards_per_zone"]
 
     @property
     def callers(self):
-        """Return the callers' limits by name."""
-        return {found["name"]: found for found in self._document.get("callers", ())}
+        """Return the limits of the callers by name."""
+        return {caller["name"]: caller for caller in self._document.get("callers", ())}
 
     @property
     def teams(self):
-        """Return the teams' quotas by name."""
-        return {found["name"]: found for found in self._document.get("teams", ())}
+        """Return the quotas of the teams by name."""
+        return {team["name"]: team for team in self._document.get("teams", ())}
 
     @property
     def services(self):
@@ -209,7 +212,7 @@
         return self._jobs
 
     def zones(self):
-        """Return the region of each zone."""
+        """Return the name of the region by name of the zone."""
         return {
             zone: region["name"]
             for region in self._document["topology"]["regions"]
@@ -232,11 +235,11 @@
 
 def _check_names(document):
     for section in ("services", "jobs", "callers", "teams"):
-        names = [found["name"] for found in document.get(section, ())]
+        names = [item["name"] for item in document.get(section, ())]
         for name in names:
             if names.count(name) > 1:
-                raise BundleInvalid(place=section, reason=f"{name} stands twice")
-    teams = {found["name"] for found in document.get("teams", ())}
+                raise BundleInvalid(place=section, reason=f"{name} is listed twice")
+    teams = {team["name"] for team in document.get("teams", ())}
     for job in document.get("jobs", ()):
         if job.get("team") and job["team"] not in teams:
             raise BundleInvalid(
@@ -250,4 +253,4 @@
     if topology["store_region"] not in names:
         raise BundleInvalid(place="topology/store_region", reason="no such region")
     if len(set(zones)) != len(zones) or len(set(names)) != len(names):
-        raise BundleInvalid(place="topology/regions", reason="a name stands twice")
+        raise BundleInvalid(place="topology/regions", reason="a name is listed twice")
--- a/papayapick/bundle/exceptions.py
+++ b/papayapick/bundle/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the bundle."""
+"""Errors of bundles and their rolls."""
 
 from papayapick.exceptions import PapayapickError
 
@@ -16,20 +16,20 @@
 
 
 class BundleError(PapayapickError):
-    """Stand for any error of a bundle."""
+    """Base class of the errors of bundles."""
 
     code = "bundle.error"
 
 
 class BundleInvalid(BundleError):
-    """Report a document that breaks the schema or contradicts itself."""
+    """Report a document that violates the schema or is inconsistent."""
 
     code = "bundle.invalid"
     template = "bundle refused at {place}: {reason}"
 
 
 class TopologyMoved(BundleError):
-    """Report a topology under which keys or hosts would change their shard."""
+    """Report a topology that would move keys or hosts to other shards."""
 
     code = "bundle.topology-moved"
     template = (
@@ -55,7 +55,7 @@
 
 
 class BundleUnconfirmed(BundleError):
-    """Report a process that was paused and can't see the head yet."""
+    """Report a process that has not confirmed its bundle after a start or a pause."""
 
     code = "bundle.unconfirmed"
     template = "this process was paused and has not confirmed its bundle"
@@ -64,21 +64,21 @@
 
 
 class BundleUnknown(BundleError):
-    """Report a digest that was never rolled to this cell."""
+    """Report a digest without a bundle in this cell's object store."""
 
     code = "bundle.unknown"
     template = "bundle {digest} is not in the object store"
 
 
 class RollUnderWay(BundleError):
-    """Report another operator's proposal that is still open."""
+    """Report that another operator's proposal is still open."""
 
     code = "bundle.roll-under-way"
     template = "{operator} is rolling {digest} as sequence {sequence}"
 
 
 class RollConflict(BundleError):
-    """Report that another operator won the race."""
+    """Report that another operator's concurrent roll took precedence."""
 
     code = "bundle.roll-conflict"
     template = "{operator} won with {digest} as sequence {sequence}"
--- a/papayapick/bundle/heads.py
+++ b/papayapick/bundle/heads.py
@@ -1,23 +1,23 @@
-"""Describe the row that names the bundle in force and the open proposal."""
+"""Define the table row that holds the bundle in force and the open proposal."""
 
 from papayapick.bundle.exceptions import RollUnderWay
 
 __all__ = ["HEAD_KEY", "Head", "Proposal", "accepted_key"]
 
 HEAD_KEY = "bundle/head"
-SEEN_PREFIX = "bundle/seen/"
+ACKNOWLEDGEMENT_PREFIX = "bundle/seen/"
 ACCEPTED_PREFIX = "bundle/accepted/"
 VERIFIED = "verified"
 IN_FORCE = "in_force"
 
 
 def accepted_key(sequence):
-    """Return the row that keeps what was accepted as a sequence."""
+    """Return the key of the row that records the accepted proposal of a sequence."""
     return f"{ACCEPTED_PREFIX}{sequence:010d}"
 
 
 class Proposal:
-    """Hold a bundle that an operator wants accepted."""
+    """Hold an operator's proposal to put a bundle in force."""
 
     __slots__ = ("digest", "operator", "sequence", "time")
 
@@ -36,16 +36,16 @@
             "time": self.time,
         }
 
-    def refuse_if_open(self, now, patience):
-        """Raise RollUnderWay while the proposal is younger than ``patience``."""
-        if now - self.time < patience:
+    def refuse_if_open(self, now, open_seconds):
+        """Raise RollUnderWay while the proposal is younger than ``open_seconds``."""
+        if now - self.time < open_seconds:
             raise RollUnderWay(
                 operator=self.operator, digest=self.digest[:12], sequence=self.sequence
             )
 
 
 class Head:
-    """Hold the row at one version; sequence 0 means that nothing is in force."""
+    """Hold one version of the row; sequence 0 means that no bundle is in force."""
 
     __slots__ = ("digest", "operator", "proposal", "sequence", "version")
 
@@ -58,17 +58,17 @@
 
     @classmethod
     def from_row(cls, row):
-        """Read the row, or None where it is absent."""
+        """Return the head that a row holds, or an empty head for None."""
         if row is None:
             return cls(0, "", "", None, 0)
-        found = row.value
-        proposal = Proposal(**found["proposal"]) if found.get("proposal") else None
+        value = row.value
+        proposal = Proposal(**value["proposal"]) if value.get("proposal") else None
         return cls(
-            found["sequence"], found["digest"], found["operator"], proposal, row.version
+            value["sequence"], value["digest"], value["operator"], proposal, row.version
         )
 
     def as_mapping(self, proposal=None):
-        """Return the stored form with a proposal in place of the present one."""
+        """Return the stored form with the given proposal, replacing the current one."""
         return {
             "sequence": self.sequence,
             "digest": self.digest,
--- a/papayapick/bundle/queries.py
+++ b/papayapick/bundle/queries.py
@@ -2,8 +2,8 @@
 
 from papayapick.bundle.exceptions import BundleUnknown
 from papayapick.bundle.heads import (
+    ACKNOWLEDGEMENT_PREFIX,
     HEAD_KEY,
-    SEEN_PREFIX,
     Head,
     Proposal,
     accepted_key,
@@ -23,17 +23,22 @@
 
 
 def object_name(digest):
-    """Return the object that holds a bundle's envelope."""
+    """Return the name of the object that holds a bundle's envelope."""
     return f"bundle/{digest}"
 
 
 def read_head(table):
-    """Return the head; raise TableUnavailable."""
+    """Return the head.
+
+    Raises
+    ------
+    TableUnavailable
+    """
     return Head.from_row(table.read(HEAD_KEY))
 
 
 def read_accepted(table, sequence):
-    """Return the proposal that was accepted as a sequence, or None."""
+    """Return the proposal that was accepted under a sequence number, or None."""
     row = table.read(accepted_key(sequence))
     if row is None:
         return None
@@ -42,7 +47,7 @@
 
 
 def stored_bundle(objects, digest):
-    """Return the bundle of an accepted digest, whose signatures were checked.
+    """Return an accepted bundle, without verifying its signatures again.
 
     Raises
     ------
@@ -63,7 +68,7 @@
 
 
 def fetch_envelope(objects, digest, keyring):
-    """Fetch a bundle and check document, digest and signatures.
+    """Fetch an envelope and verify its document, digest and signatures.
 
     Returns
     -------
@@ -79,7 +84,12 @@
 
 
 def verified_envelope(data, digest, keyring):
-    """Check the bytes of an envelope against digest and signatures."""
+    """Decode an envelope and verify its document, digest and signatures.
+
+    Raises
+    ------
+    BundleUnknown, BundleInvalid, SignaturesMissing
+    """
     envelope = Envelope.from_bytes(data)
     if envelope.bundle.digest != digest:
         raise BundleUnknown(digest=digest)
@@ -88,12 +98,12 @@
 
 
 def read_acknowledgements(table):
-    """Return what each process has said of bundles.
+    """Return the latest acknowledgement of each process.
 
     Returns
     -------
     dict of str to dict
         By host: ``sequence``, ``digest`` and ``state``.
     """
-    rows = table.scan(SEEN_PREFIX)
-    return {row.key.removeprefix(SEEN_PREFIX): row.value for row in rows}
+    rows = table.scan(ACKNOWLEDGEMENT_PREFIX)
+    return {row.key.removeprefix(ACKNOWLEDGEMENT_PREFIX): row.value for row in rows}
--- a/papayapick/bundle/signing.py
+++ b/papayapick/bundle/signing.py
@@ -1,4 +1,4 @@
-"""Sign bundles with Ed25519 keys and check k of n signatures."""
+"""Sign bundles with Ed25519 keys and verify that enough operators have signed."""
 
 import base64
 import binascii
@@ -20,14 +20,14 @@
 
 
 def generate_key():
-    """Make a signing key.
+    """Generate an Ed25519 key pair for signing.
 
     Returns
     -------
     private_pem : bytes
-        To be kept by its operator.
+        PKCS #8 in PEM; stays with its operator.
     public_text : str
-        For the file of operators' keys.
+        Base64, for the file of operators' keys.
     """
     key = Ed25519PrivateKey.generate()
     private = key.private_bytes(
@@ -61,17 +61,17 @@
 
     @classmethod
     def from_bytes(cls, data):
-        """Read an envelope and check its document.
+        """Decode an envelope and validate its document.
 
         Raises
         ------
         BundleInvalid
         """
         if len(data) > DOCUMENT_LIMIT_BYTES:
-            raise BundleInvalid(place="the top", reason="it is too large")
+            raise BundleInvalid(place="the envelope", reason="it is too large")
         try:
-            found = json.loads(data)
-            document, signatures = found["document"], found.get("signatures", {})
+            decoded = json.loads(data)
+            document, signatures = decoded["document"], decoded.get("signatures", {})
             signatures = {str(name): str(text) for name, text in signatures.items()}
         except (
             ValueError,
@@ -81,7 +81,7 @@
             RecursionError,
         ) as error:
             raise BundleInvalid(
-                place="the top", reason="it is no JSON envelope"
+                place="the envelope", reason="it is not a JSON envelope"
             ) from error
         return cls(Bundle.from_document(document), signatures)
 
@@ -107,7 +107,7 @@
 
 
 class KeyRing:
-    """Hold the operators' public keys and how many must have signed.
+    """Hold the operators' public keys and the number of signatures required.
 
     Parameters
     ----------
@@ -123,12 +123,13 @@
 
     @classmethod
     def from_config(cls, settings):
-        """Read the file of operators' keys: JSON, base64 key by operator.
+        """Read the operators' keys from a JSON file of base64 keys by operator.
 
         Raises
         ------
         BundleInvalid
-            The file is not such a mapping, or holds fewer keys than are needed.
+            The file is not such a mapping, or has fewer keys than signatures are
+            required.
         """
         with open(settings.operator_keys, encoding="utf-8") as file:
             return cls.from_text(file.read(), settings.required_signatures)
@@ -143,29 +144,29 @@
             }
         except (ValueError, TypeError, AttributeError, binascii.Error) as error:
             raise BundleInvalid(
-                place="operator keys", reason="no mapping of operators to keys"
+                place="operator keys", reason="not a mapping of operators to keys"
             ) from error
         if len(keys) < required:
             raise BundleInvalid(
-                place="operator keys", reason=f"{len(keys)} keys of {required} needed"
+                place="operator keys", reason=f"{len(keys)} keys, {required} required"
             )
         return cls(keys, required)
 
     def verify(self, envelope):
-        """Check the signatures.
+        """Verify the signatures of an envelope.
 
         Raises
         ------
         SignaturesMissing
-            Fewer different keys have signed than are required.
+            Fewer distinct keys have signed than are required.
         """
         text = canonical(envelope.bundle.document)
         signers = set()
         for operator, signature in envelope.signatures.items():
             key = self._keys.get(operator)
             if key is not None and _is_valid(key, signature, text):
-                # Two names with one key count once, else one person could
-                # sign for two.
+                # Signatures are counted by key, not by name: with one key listed
+                # under two names, one person could sign twice.
                 signers.add(key.public_bytes(_RAW, serialization.PublicFormat.Raw))
         if len(signers) < self._required:
             raise SignaturesMissing(found=len(signers), required=self._required)
--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -1,4 +1,4 @@
-"""Keep the newest accepted bundle in force in one process."""
+"""Put the newest accepted bundle in force in one process."""
 
 import threading
 
@@ -20,7 +20,7 @@
 
 
 class PeerHead:
-    """Hold what a peer says of the bundle it has in force.
+    """Hold the bundle state that a peer reports.
 
     Parameters
     ----------
@@ -28,11 +28,11 @@
     sequence : int
     digest : str
     is_confirmed : bool
-        Whether the peer has looked since its own last pause.
+        Whether the peer has read the head since its own last pause.
     pauses : int
-        This process's pauses, counted before the peer was asked.
+        Pauses of this process before it sent the request to the peer.
     placers : int
-        How many placers the live list names.
+        Number of placers on the live list.
     """
 
     __slots__ = ("digest", "is_confirmed", "pauses", "peer", "placers", "sequence")
@@ -56,39 +56,41 @@
 
 
 class BundleWatcher:
-    """Fetch, verify, acknowledge and put bundles in force.
+    """Fetch, verify and acknowledge bundles, and put them in force.
 
-    A process swaps whole bundles in one assignment and never goes back to a
+    A process replaces the whole bundle in one assignment and never returns to a
     lower sequence.
 
     Parameters
     ----------
-    table, objects, keyring
+    table : TableProtocol
+    objects : ObjectsProtocol
+    keyring : KeyRing
     host : str
-        Name under which the process acknowledges.
+        Host name under which acknowledgements are stored.
     cell : str
-        A bundle of another cell is refused.
+        Bundles of other cells are rejected.
     on_change : callable, optional
-        Called with the new bundle after the swap.
+        Called with the new bundle once it is in force.
     pauses : PauseGuard, optional
-        After a pause the head is looked at again before it counts as confirmed.
+        After a pause, the bundle is unconfirmed until the head has been read again.
     """
 
     __slots__ = (
         "_cell",
         "_confirmed_pauses",
-        "_confirming",
+        "_confirmations",
         "_current",
         "_envelopes",
         "_head_version",
         "_host",
         "_keyring",
+        "_last_acknowledgement",
         "_lock",
         "_objects",
         "_on_change",
         "_pauses",
         "_table",
-        "_told",
     )
 
     def __init__(
@@ -102,17 +104,17 @@
         self._on_change = on_change or (lambda bundle: None)
         self._current = None
         self._envelopes = {}
-        self._told = None
+        self._last_acknowledgement = None
         self._head_version = 0
         self._pauses = pauses
-        # A process that starts has not looked yet, as after a pause.
+        # A new process has not read the head yet; it is unconfirmed as after a pause.
         self._confirmed_pauses = -1
-        self._confirming = (-1, set())
+        self._confirmations = (-1, set())
         self._lock = threading.Lock()
 
     @property
     def bundle(self):
-        """Return the bundle in force; raise BundleMissing where there is none."""
+        """Return the bundle in force; raise BundleMissing if there is none."""
         current = self._current
         if current is None:
             raise BundleMissing()
@@ -120,23 +122,23 @@
 
     @property
     def sequence(self):
-        """Return the sequence in force, 0 where there is none."""
+        """Return the sequence of the bundle in force, or 0 if there is none."""
         return self._current.sequence if self._current else 0
 
     @property
     def digest(self):
-        """Return the digest in force, empty where there is none."""
+        """Return the digest of the bundle in force, or an empty string."""
         return self._current.bundle.digest if self._current else ""
 
     @property
     def head_version(self):
-        """Return the version of the head's row as last read."""
+        """Return the version of the head row that was read last."""
         return self._head_version
 
     @property
     def needs_acknowledgement(self):
-        """Return whether the table was not told yet of the bundle in force."""
-        return bool(self.sequence) and self._told != (
+        """Return whether the bundle in force has not been acknowledged yet."""
+        return bool(self.sequence) and self._last_acknowledgement != (
             self.sequence,
             self.digest,
             IN_FORCE,
@@ -144,28 +146,34 @@
 
     @property
     def is_confirmed(self):
-        """Return whether the head was looked at since the start and last pause."""
+        """Return whether the head was read after the start and the last pause."""
         return self._pauses is None or (self._pauses.count() == self._confirmed_pauses)
 
     def count_pauses(self):
-        """Return the pauses so far, to be noted before a peer is asked."""
+        """Return the number of pauses so far, to be read before asking a peer."""
         return self._pauses.count() if self._pauses else 0
 
     def confirm(self):
-        """Look at the head again after a pause; raise BundleUnconfirmed."""
+        """Read the head again after a pause.
+
+        Raises
+        ------
+        BundleUnconfirmed
+            The table is unavailable.
+        """
         try:
             self.refresh()
         except TableUnavailable as error:
             raise BundleUnconfirmed() from error
 
     def envelope_bytes(self, digest):
-        """Return the envelope of a bundle that this process has verified."""
+        """Return the envelope of a verified bundle, or empty bytes if not cached."""
         with self._lock:
-            found = self._envelopes.get(digest)
-        return found.to_bytes() if found else b""
+            envelope = self._envelopes.get(digest)
+        return envelope.to_bytes() if envelope else b""
 
     def refresh(self):
-        """Look at the head once; verify what is proposed, swap to what is accepted.
+        """Read the head, verify a proposed bundle and put an accepted one in force.
 
         Raises
         ------
@@ -175,68 +183,68 @@
         head = read_head(self._table)
         self._head_version = head.version
         proposal = head.proposal
-        if proposal is not None and self._verified(proposal.digest):
-            self._tell(proposal.sequence, proposal.digest, VERIFIED)
-        if head.sequence > self.sequence and self._verified(head.digest):
+        if proposal is not None and self._ensure_verified(proposal.digest):
+            self._acknowledge(proposal.sequence, proposal.digest, VERIFIED)
+        if head.sequence > self.sequence and self._ensure_verified(head.digest):
             self.put_in_force(head.sequence, self._envelopes[head.digest])
         if head.sequence and head.sequence == self.sequence and proposal is None:
-            self._tell(head.sequence, head.digest, IN_FORCE)
+            self._acknowledge(head.sequence, head.digest, IN_FORCE)
         if self.sequence >= head.sequence:
             self._confirmed_pauses = pauses
 
-    def handle_peer_head(self, heard, fetch):
-        """Take a newer bundle from a peer, and its word that there is no newer.
+    def handle_peer_head(self, reported, fetch):
+        """Fetch a newer bundle from a peer, or let the peer confirm the current one.
 
         Parameters
         ----------
-        heard : PeerHead
+        reported : PeerHead
         fetch : callable
-            Returns the envelope's bytes from that peer.
+            Returns the bytes of the envelope from that peer.
 
         Notes
         -----
-        The peer is authenticated and speaks of a sequence that it has in force,
-        which only an accepted bundle reaches; the document is verified here.
-        This carries a roll through the cell while the table is down.
+        The peer is authenticated and reports the sequence that it has in force,
+        which must have been accepted; the document is verified here. In this way a
+        roll reaches the whole cell while the table is unavailable.
         """
-        if heard.sequence > self.sequence and heard.digest:
-            self._take(heard, fetch)
-        if heard.is_confirmed and 0 < heard.sequence <= self.sequence:
-            self._note_confirmation(heard)
+        if reported.sequence > self.sequence and reported.digest:
+            self._adopt(reported, fetch)
+        if reported.is_confirmed and 0 < reported.sequence <= self.sequence:
+            self._note_confirmation(reported)
 
-    def _take(self, heard, fetch):
+    def _adopt(self, reported, fetch):
         with self._lock:
-            envelope = self._envelopes.get(heard.digest)
+            envelope = self._envelopes.get(reported.digest)
         if envelope is None:
             try:
-                envelope = verified_envelope(fetch(), heard.digest, self._keyring)
+                envelope = verified_envelope(fetch(), reported.digest, self._keyring)
                 self._check_cell(envelope)
             except BundleError as error:
-                _LOG.error("bundle of a peer refused", extra={"error": str(error)})
+                _LOG.error("bundle from a peer rejected", extra={"error": str(error)})
                 return
-            self._remember(envelope)
-        self.put_in_force(heard.sequence, envelope)
-
-    def _note_confirmation(self, heard):
-        # While the table is down a woken process goes by its peers. An answer
-        # asked for before the pause may have waited unread through a roll, and
-        # a peer that was itself frozen may know no more: neither counts. More
-        # than half of the placers must agree, since some may be cut off from
-        # those that took the newest bundle.
+            self._cache_envelope(envelope)
+        self.put_in_force(reported.sequence, envelope)
+
+    def _note_confirmation(self, reported):
+        # While the table is unavailable, a process that was paused relies on its
+        # peers. Answers to requests sent before the pause don't count, because they
+        # may predate a roll; neither do peers that were paused themselves. More than
+        # half of the placers must agree, since some may be partitioned from those
+        # that have the newest bundle.
         with self._lock:
-            pauses, peers = self._confirming
-            if pauses != heard.pauses:
+            pauses, peers = self._confirmations
+            if pauses != reported.pauses:
                 peers = set()
-            peers.add(heard.peer)
-            self._confirming = (heard.pauses, peers)
-            if len(peers) * 2 > heard.placers:
-                self._confirmed_pauses = max(self._confirmed_pauses, heard.pauses)
+            peers.add(reported.peer)
+            self._confirmations = (reported.pauses, peers)
+            if len(peers) * 2 > reported.placers:
+                self._confirmed_pauses = max(self._confirmed_pauses, reported.pauses)
 
     def put_in_force(self, sequence, envelope):
-        """Swap to a verified bundle unless one as new is in force."""
+        """Put a verified bundle in force unless the current one is as new or newer."""
         with self._lock:
-            # Two threads may bring bundles at once; the lower sequence must
-            # lose whichever comes last.
+            # Two threads may put bundles in force at the same time; the higher
+            # sequence must remain, in whichever order they get here.
             if self._current is not None and sequence <= self._current.sequence:
                 return
             self._current = _Current(sequence, envelope)
@@ -246,7 +254,7 @@
         )
         self._on_change(envelope.bundle)
 
-    def _verified(self, digest):
+    def _ensure_verified(self, digest):
         with self._lock:
             if digest in self._envelopes:
                 return True
@@ -256,31 +264,31 @@
         except ObjectsUnavailable:
             return False
         except BundleError as error:
-            _LOG.error("bundle refused", extra={"error": str(error)})
+            _LOG.error("bundle rejected", extra={"error": str(error)})
             return False
-        self._remember(envelope)
+        self._cache_envelope(envelope)
         return True
 
     def _check_cell(self, envelope):
         if envelope.bundle.cell != self._cell:
             raise BundleInvalid(
-                place="cell", reason=f"it is for {envelope.bundle.cell}"
+                place="cell", reason=f"the bundle is for cell {envelope.bundle.cell}"
             )
 
-    def _remember(self, envelope):
+    def _cache_envelope(self, envelope):
         with self._lock:
             current = self._current
             self._envelopes = {
-                found.bundle.digest: found
-                for found in (current.envelope if current else envelope, envelope)
+                cached.bundle.digest: cached
+                for cached in (current.envelope if current else envelope, envelope)
             }
 
-    def _tell(self, sequence, digest, state):
-        told = (sequence, digest, state)
-        if told == self._told:
+    def _acknowledge(self, sequence, digest, state):
+        acknowledgement = (sequence, digest, state)
+        if acknowledgement == self._last_acknowledgement:
             return
         try:
             acknowledge(self._table, self._host, sequence, digest, state)
         except TableUnavailable:
             return
-        self._told = told
+        self._last_acknowledgement = acknowledgement
