--- a/tests/bundle/simulation.py
+++ b/tests/bundle/simulation.py
@@ -1,4 +1,4 @@
-"""Make signed bundles and processes that watch them, without sockets."""
+"""Simulate a cell of bundle watchers in memory, without sockets."""
 
 import copy
 import json
@@ -19,16 +19,16 @@
 
 
 class Cell:
-    """A store, operators' keys and as many watching processes as wanted."""
+    """A store, the operators' keys and any number of processes with watchers."""
 
     def __init__(self, placers=3):
         self.table = ScriptedTable()
         self.objects = MemoryObjects()
         self.clock = ManualClock()
         self.placers = placers
-        made = {name: generate_key() for name in OPERATORS}
-        self.keys = {name: private for name, (private, _) in made.items()}
-        public = {name: text for name, (_, text) in made.items()}
+        pairs = {name: generate_key() for name in OPERATORS}
+        self.keys = {name: private for name, (private, _) in pairs.items()}
+        public = {name: text for name, (_, text) in pairs.items()}
         self.keyring = KeyRing.from_text(json.dumps(public), REQUIRED)
 
     def envelope(self, label="one", signers=("ana", "ben"), **topology):
@@ -51,11 +51,11 @@
         return accept(self.table, self.propose(envelope, operator))
 
     def process(self, name):
-        return Watching(self, name)
+        return WatcherProcess(self, name)
 
 
-class Watching:
-    """One process with its watcher."""
+class WatcherProcess:
+    """One process with its bundle watcher."""
 
     def __init__(self, cell, name):
         self.cell = cell
@@ -74,15 +74,15 @@
     def label(self):
         return self.watcher.bundle.document["label"]
 
-    def head(self, asker):
-        """Return what this process answers to an asker now."""
+    def head(self, requester):
+        """Return the current answer of this process to a requester."""
         watcher = self.watcher
         return PeerHead(
             self.name,
             watcher.sequence,
             watcher.digest,
             watcher.is_confirmed,
-            asker.watcher.count_pauses(),
+            requester.watcher.count_pauses(),
             self.cell.placers,
         )
 
@@ -90,18 +90,18 @@
         self.read(peer.head(self), peer)
 
     def read(self, head, peer):
-        """Read an answer that may have been asked for long ago."""
+        """Read an answer that may have been requested long ago."""
         self.watcher.handle_peer_head(
             head, lambda: peer.watcher.envelope_bytes(head.digest)
         )
 
 
-def freeze(cell):
-    """Freeze every process that does not tick: time passes unseen by it."""
+def pause_all(cell):
+    """Advance the clock so far that every process that does not tick has paused."""
     cell.clock.advance(PAUSE_SECONDS * 5)
 
 
 def tick(processes):
-    """Let the processes note that they ran, without a gap."""
+    """Run the pause detectors of the processes, so that they detect no gap."""
     for process in processes:
         process.pauses.count()
--- a/tests/bundle/test_rolls.py
+++ b/tests/bundle/test_rolls.py
@@ -1,3 +1,5 @@
+"""Rolls of bundles: races of operators, lost answers, signatures, topology."""
+
 import pytest
 
 from papayapick.bundle import (
@@ -23,9 +25,9 @@
     return Cell()
 
 
-def test_of_two_operators_that_roll_at_once_one_wins(cell):
-    """Ana's proposal has waited past the patience, Ben proposes and both
-    accept. Had both won, the processes would run two bundles as one sequence.
+def test_only_one_of_two_concurrent_rolls_is_accepted(cell):
+    """Ana's proposal has expired, Ben proposes, and both accept. If both accepts
+    succeeded, processes would run two bundles under one sequence.
     """
     first = cell.propose(cell.envelope("one"), "ana")
     cell.clock.advance(PROPOSAL_SECONDS)
@@ -40,27 +42,29 @@
     }
 
 
-def test_a_proposal_is_not_pushed_aside_while_it_is_young(cell):
-    """Ben rolls while Ana's processes acknowledge: he hears who is rolling."""
+def test_an_open_proposal_cannot_be_replaced(cell):
+    """Ben proposes while processes still acknowledge Ana's proposal; the error
+    names her as the operator.
+    """
     cell.propose(cell.envelope("one"), "ana")
     with pytest.raises(RollUnderWay) as refused:
         cell.propose(cell.envelope("two"), "ben")
     assert refused.value.details["operator"] == "ana"
 
 
-def test_an_accept_that_lost_the_race_of_writes_names_the_winner(cell):
-    """Both have read the head when Ben's write takes effect first."""
+def test_an_accept_that_loses_a_write_race_names_the_other_operator(cell):
+    """Both operators have read the head, and Ben's write is applied first."""
     first = cell.propose(cell.envelope("one"), "ana")
     cell.clock.advance(PROPOSAL_SECONDS)
     second = None
 
-    def win():
+    def accept_other():
         nonlocal second
         cell.table.steps = []
         second = cell.propose(cell.envelope("two"), "ben")
         accept(cell.table, second)
 
-    cell.table.steps = [win]
+    cell.table.steps = [accept_other]
     with pytest.raises(RollConflict) as lost:
         accept(cell.table, first)
     assert lost.value.details["operator"] == "ben"
@@ -68,9 +72,9 @@
 
 
 @pytest.mark.parametrize("step", [DONE_UNANSWERED, UNDONE_UNANSWERED, LATE])
-def test_an_accept_without_an_answer_is_settled(cell, step):
-    """The answer of the accepting write is lost. An operator who is told that
-    it failed would roll again, or step back from what is in force.
+def test_an_accept_whose_answer_is_lost_is_resolved(cell, step):
+    """The answer to the accepting write is lost. If the accept were reported as
+    failed, the operator would roll again or roll back a bundle that is in force.
     """
     proposal = cell.propose(cell.envelope("one"))
     cell.table.steps = [step]
@@ -82,10 +86,10 @@
     assert accept(cell.table, proposal).sequence == 1
 
 
-def test_a_lost_accept_is_settled_though_the_head_has_gone_on(cell):
-    """Ana's accept takes effect, its answer is lost, and before she looks Ben
-    proposes the next bundle. The head's row is Ben's then; told that he won,
-    Ana would think her bundle is not in force.
+def test_a_lost_accept_is_resolved_after_the_head_has_changed(cell):
+    """Ana's accept is applied, its answer is lost, and Ben proposes the next
+    bundle before she reads the head. The head row then names Ben; an error that
+    he was first would suggest to Ana that her bundle is not in force.
     """
     first = cell.propose(cell.envelope("one"), "ana")
     read = cell.table.read
@@ -104,7 +108,7 @@
 
 
 def test_an_accept_in_an_outage_is_unknown(cell):
-    """The table is down: neither accepted nor refused is told."""
+    """The table is unavailable, so the outcome is neither accepted nor rejected."""
     proposal = cell.propose(cell.envelope("one"))
     cell.table.steps = [UNDONE_UNANSWERED, UNDONE_UNANSWERED]
     with pytest.raises(TableUnavailable):
@@ -119,17 +123,17 @@
     assert read_head(cell.table).sequence == 0
 
 
-def test_a_step_back_is_a_new_higher_sequence(cell):
-    """The operators step back to the first bundle. With its old sequence the
-    processes, which never lower theirs, would keep the second for ever.
+def test_a_rollback_gets_a_new_higher_sequence(cell):
+    """Operators roll back to the first bundle. Processes never go to a lower
+    sequence, so under its old sequence they would stay on the second bundle.
     """
     first = cell.roll("one")
     cell.roll("two")
     envelope = fetch_envelope(cell.objects, first.digest, cell.keyring)
-    back = accept(cell.table, cell.propose(envelope, "ben"))
+    rollback = accept(cell.table, cell.propose(envelope, "ben"))
     process = cell.process("gateway-1")
     process.watcher.refresh()
-    assert (back.sequence, process.watcher.sequence, process.label) == (3, 3, "one")
+    assert (rollback.sequence, process.watcher.sequence, process.label) == (3, 3, "one")
 
 
 @pytest.mark.parametrize(
@@ -143,8 +147,9 @@
     ],
 )
 def test_a_bundle_without_enough_signatures_is_in_force_nowhere(cell, signers, spoil):
-    """One signature of two, a signature of another document or one person's
-    twice: whoever writes the table, no process puts it in force.
+    """One signature of two, a signature of another document, or one operator's
+    signature twice: no process puts such a bundle in force, even if it was
+    written to the table.
     """
     envelope = cell.envelope("one", signers)
     if spoil == "document":
@@ -196,8 +201,9 @@
     ],
 )
 def test_a_topology_that_would_move_keys_is_refused(cell, topology, part):
-    """A member repeats a fee run under its key after the roll; the key maps to
-    another shard, whose journal does not know it, and the member pays twice.
+    """A caller retries a fee run under its idempotency key after the roll. The key
+    would map to another shard, whose journal does not have it, and the fee would
+    be charged twice.
     """
     cell.roll("one")
     moved = cell.envelope("two", **topology)
@@ -210,7 +216,7 @@
 @pytest.mark.parametrize(
     "zones", [["launceston-a", "burnie-b"], ["burnie-b"]], ids=["added", "replaced"]
 )
-def test_zones_of_other_regions_may_come_and_go(cell, zones):
+def test_zones_of_other_regions_may_be_added_and_removed(cell, zones):
     cell.roll("one")
     regions = [REGIONS[0], {"name": "north-tas", "zones": zones}]
     assert cell.roll("two", regions=regions).sequence == 2
--- a/tests/bundle/test_watching.py
+++ b/tests/bundle/test_watching.py
@@ -1,3 +1,5 @@
+"""Bundle watchers: rolls, table outages, pauses and confirmation by peers."""
+
 import pytest
 
 from papayapick.bundle import BundleMissing, SignaturesMissing
@@ -5,7 +7,7 @@
 from papayapick.bundle.exceptions import BundleUnconfirmed
 from papayapick.bundle.heads import IN_FORCE, VERIFIED
 from papayapick.bundle.queries import read_acknowledgements
-from tests.bundle.simulation import Cell, freeze, tick
+from tests.bundle.simulation import Cell, pause_all, tick
 
 
 @pytest.fixture
@@ -14,7 +16,7 @@
 
 
 def running(cell, *names):
-    """Return processes that have looked at the table."""
+    """Return processes that have read the head from the table."""
     processes = [cell.process(name) for name in names]
     for process in processes:
         process.watcher.refresh()
@@ -27,7 +29,7 @@
     cell.objects.board.set("objects", "down")
 
 
-def test_a_process_acknowledges_what_it_verified_and_what_is_in_force(cell):
+def test_a_process_acknowledges_verified_and_active_bundles(cell):
     proposal = cell.propose(cell.envelope("one"))
     (process,) = running(cell, "gateway-1")
     assert read_acknowledgements(cell.table)["gateway-1"]["state"] == VERIFIED
@@ -39,8 +41,8 @@
 
 
 def test_a_bundle_spreads_through_peers_while_the_table_is_down(cell):
-    """The table goes down right after the accept; one process has looked. The
-    others must not run the old bundle for the whole outage.
+    """The table becomes unavailable right after the accept, when one process has
+    read it. The others must not run the old bundle for the whole outage.
     """
     cell.roll("one")
     first, second, third = running(cell, "p1", "p2", "p3")
@@ -49,12 +51,12 @@
     table_down(cell)
     second.ask(first)
     third.ask(second)
-    assert [found.label for found in (first, second, third)] == ["two"] * 3
+    assert [process.label for process in (first, second, third)] == ["two"] * 3
 
 
-def test_a_process_started_from_nothing_takes_the_highest_head_of_its_peers(cell):
-    """A host is replaced while the table is down; one of its peers is behind.
-    Asked in whichever order, the newest bundle stays in force.
+def test_a_new_process_adopts_the_highest_head_of_its_peers(cell):
+    """A host is replaced while the table is unavailable, and one of its peers is
+    behind. In whichever order the peers answer, the newest bundle stays in force.
     """
     cell.roll("one")
     behind, newest = running(cell, "p1", "p2")
@@ -68,20 +70,20 @@
         assert (fresh.watcher.sequence, fresh.label) == (2, "two")
 
 
-def test_an_older_message_does_not_take_a_newer_bundle_back(cell):
-    """A peer's answer waits unread while the next bundle comes into force."""
+def test_a_delayed_answer_does_not_replace_a_newer_bundle(cell):
+    """A peer's answer is delayed until the next bundle is in force."""
     cell.roll("one")
     first, second = running(cell, "p1", "p2")
-    late = first.head(second)
+    delayed = first.head(second)
     cell.roll("two")
     second.watcher.refresh()
-    second.read(late, first)
+    second.read(delayed, first)
     assert second.label == "two"
 
 
-def test_a_bundle_that_arrives_while_a_newer_one_is_put_in_force_loses(cell):
+def test_a_bundle_fetched_while_a_newer_one_is_put_in_force_is_dropped(cell):
     """One thread fetches the second bundle from a peer while another puts the
-    third in force; the one that comes last must not win.
+    third in force. The second must not replace the third.
     """
     cell.roll("one")
     first, second = running(cell, "p1", "p2")
@@ -98,8 +100,8 @@
     assert (second.watcher.sequence, second.label) == (3, "three")
 
 
-def test_a_bundle_of_a_peer_is_verified_as_one_of_the_store(cell):
-    """A peer hands over a bundle with one signature of two."""
+def test_a_bundle_from_a_peer_is_verified(cell):
+    """A peer sends a bundle with one signature of two required."""
     cell.roll("one")
     first, second = running(cell, "p1", "p2")
     bad = cell.envelope("bad", signers=("ana",))
@@ -111,44 +113,45 @@
         cell.keyring.verify(bad)
 
 
-def test_a_process_frozen_through_a_roll_decides_nothing_before_it_looks(cell):
-    """A gateway is frozen, a bundle is rolled everywhere else, the gateway
-    wakes: it would admit work under the limits of the bundle before.
+def test_a_process_paused_during_a_roll_is_unconfirmed_until_it_reads_the_head(cell):
+    """A gateway is paused while a bundle is rolled to all other processes. After
+    the pause it would admit work under the limits of the previous bundle.
     """
     cell.roll("one")
-    (frozen,) = running(cell, "gateway-1")
-    assert frozen.watcher.is_confirmed
-    freeze(cell)
+    (paused,) = running(cell, "gateway-1")
+    assert paused.watcher.is_confirmed
+    pause_all(cell)
     cell.roll("two")
-    assert not frozen.watcher.is_confirmed
-    frozen.watcher.confirm()
-    assert (frozen.watcher.is_confirmed, frozen.label) == (True, "two")
+    assert not paused.watcher.is_confirmed
+    paused.watcher.confirm()
+    assert (paused.watcher.is_confirmed, paused.label) == (True, "two")
 
 
-def test_a_woken_process_stays_unconfirmed_while_nobody_can_tell(cell):
-    """It wakes with the table down and no peer: "not run" with Retry-After is
-    true, work under a replaced bundle is not.
+def test_a_paused_process_stays_unconfirmed_without_table_and_peers(cell):
+    """After the pause the table is unavailable and there is no peer. The process
+    answers "not run" with Retry-After instead of running work under a bundle
+    that may have been replaced.
     """
     cell.roll("one")
-    (frozen,) = running(cell, "gateway-1")
+    (paused,) = running(cell, "gateway-1")
     table_down(cell)
-    freeze(cell)
+    pause_all(cell)
     with pytest.raises(BundleUnconfirmed) as refused:
-        frozen.watcher.confirm()
+        paused.watcher.confirm()
     assert (refused.value.outcome, refused.value.retry_after) == ("not_run", 1.0)
 
 
 @pytest.mark.parametrize(
     ("asked", "is_confirmed"), [(0, False), (1, False), (2, True), (3, True)]
 )
-def test_a_woken_process_goes_by_most_placers_while_the_table_is_down(
+def test_a_majority_of_placers_confirms_a_paused_process_in_an_outage(
     cell, asked, is_confirmed
 ):
-    """One placer may be cut off from those that took the newest bundle, so its
-    word alone does not count; the word of more than half of them does.
+    """One placer may be partitioned from those that have the newest bundle, so its
+    answer alone is not enough; the answers of more than half of them are.
     """
     cell.roll("one")
-    frozen, *peers = running(cell, "gateway-1", "p1", "p2", "p3")
+    paused, *peers = running(cell, "gateway-1", "p1", "p2", "p3")
     cell.roll("two")
     peers[-1].watcher.refresh()
     peers[0].watcher.refresh()
@@ -158,51 +161,53 @@
         cell.clock.advance(0.5)
         tick(peers)
     for peer in peers[:asked]:
-        frozen.ask(peer)
-    assert frozen.watcher.is_confirmed == is_confirmed
+        paused.ask(peer)
+    assert paused.watcher.is_confirmed == is_confirmed
     if is_confirmed:
-        assert frozen.label == "two"
+        assert paused.label == "two"
 
 
-def test_one_placer_asked_twice_is_one(cell):
+def test_two_answers_of_one_placer_count_once(cell):
     cell.roll("one")
-    frozen, peer = running(cell, "gateway-1", "p1")
+    paused, peer = running(cell, "gateway-1", "p1")
     for _ in range(10):
         cell.clock.advance(0.5)
         tick([peer])
-    frozen.ask(peer)
-    frozen.ask(peer)
-    assert not frozen.watcher.is_confirmed
+    paused.ask(peer)
+    paused.ask(peer)
+    assert not paused.watcher.is_confirmed
 
 
-def test_peers_that_were_frozen_too_confirm_nothing(cell):
-    """A switch freezes a whole rack through the roll, and all wake at once
-    with the table down: they must not confirm each other's old bundle.
+def test_peers_that_were_paused_too_confirm_nothing(cell):
+    """All processes of a rack are paused during the roll and resume while the
+    table is unavailable. They must not confirm each other's old bundle.
     """
     cell.roll("one")
-    frozen, *peers = running(cell, "gateway-1", "p1", "p2", "p3")
-    freeze(cell)
+    paused, *peers = running(cell, "gateway-1", "p1", "p2", "p3")
+    pause_all(cell)
     cell.roll("two")
     table_down(cell)
     for peer in peers:
-        frozen.ask(peer)
-    assert not frozen.watcher.is_confirmed
+        paused.ask(peer)
+    assert not paused.watcher.is_confirmed
 
 
-def test_an_answer_asked_for_before_the_pause_confirms_nothing(cell):
-    """Answers of before the roll wait in the socket of a frozen process."""
+def test_an_answer_requested_before_the_pause_confirms_nothing(cell):
+    """Answers from before the roll are still in the socket buffer of a paused
+    process.
+    """
     cell.roll("one")
-    frozen, *peers = running(cell, "gateway-1", "p1", "p2", "p3")
-    waiting = [(peer.head(frozen), peer) for peer in peers]
-    freeze(cell)
+    paused, *peers = running(cell, "gateway-1", "p1", "p2", "p3")
+    buffered = [(peer.head(paused), peer) for peer in peers]
+    pause_all(cell)
     table_down(cell)
-    for head, peer in waiting:
-        frozen.read(head, peer)
-    assert not frozen.watcher.is_confirmed
+    for head, peer in buffered:
+        paused.read(head, peer)
+    assert not paused.watcher.is_confirmed
 
 
-def test_a_process_started_from_nothing_is_unconfirmed_until_it_has_looked(cell):
-    """It hears of a bundle from one peer, which may be behind the others."""
+def test_a_new_process_is_unconfirmed_until_it_has_read_the_head(cell):
+    """It gets a bundle from one peer, which may be behind the others."""
     cell.roll("one")
     (peer,) = running(cell, "p1")
     table_down(cell)
