--- a/papayapick/conf/__init__.py
+++ b/papayapick/conf/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: one page of defaults, read from flags and the environment."""
+"""Settings with defaults, read from flags and environment variables."""
 
 from papayapick.conf.defaults import SETTINGS
 from papayapick.conf.exceptions import SettingInvalid, SettingMissing
--- a/papayapick/conf/exceptions.py
+++ b/papayapick/conf/exceptions.py
@@ -6,7 +6,7 @@
 
 
 class SettingsError(PapayapickError):
-    """Stand for any error in the settings."""
+    """Base class of the errors of settings."""
 
     code = "settings.error"
 
@@ -19,7 +19,7 @@
 
 
 class SettingMissing(SettingsError):
-    """Report a setting that has no value and no default."""
+    """Report a required setting without a value."""
 
     code = "settings.missing"
     template = "{flag} is not set; hint: pass it or set {variable} ({hint})"
--- a/papayapick/conf/queries.py
+++ b/papayapick/conf/queries.py
@@ -1,4 +1,4 @@
-"""Tell where the value of each setting comes from, and describe them all."""
+"""Determine the source of each setting's value and render the reference page."""
 
 from papayapick.conf.defaults import SETTINGS
 from papayapick.conf.exceptions import SettingInvalid
@@ -13,29 +13,29 @@
 _PAGE_HEAD = """# Settings
 
 Every setting is a flag of the programs that read it, and an environment
-variable; the flag goes before the variable. `papayapick check --settings` shows
-the values of an environment and where each comes from. A wrong value ends a
-program with exit code 2 and one line that names the setting, what was given,
-what is allowed and a hint.
+variable; the flag takes precedence over the variable.
+`papayapick check --settings` shows the values of an environment and the source
+of each. An invalid value ends a program with exit code 2 and one line that names
+the setting, the given value, the allowed values and a hint.
 
-Keys are named by file only; their text is never a setting, and never logged.
+Keys are given as files only; their content is never a setting and never logged.
 
-This page is written from `papayapick/conf/defaults.py` by
+This page is generated from `papayapick/conf/defaults.py` by
 `python -m papayapick.conf.reference > docs/ref/settings.md`.
 
-| Flag | Variable | Default | Allowed | Programs | Why |
+| Flag | Variable | Default | Allowed | Programs | Reason |
 | --- | --- | --- | --- | --- | --- |
 """
 
 
 class SettingSource:
-    """Hold one setting of an environment.
+    """Hold the value of one setting in an environment, with its source.
 
     Parameters
     ----------
     setting : Setting
     value : object
-        None where it is missing, the text as given where it is wrong.
+        None if the setting is missing, the given text if it is invalid.
     source : {"default", "environment", "missing", "wrong"}
     """
 
@@ -48,7 +48,7 @@
 
     @property
     def value_or_default(self):
-        """Return the value, or the default where the given one is wrong."""
+        """Return the value, or the default if the given value is invalid."""
         return self.setting.default if self.source == _WRONG else self.value
 
 
@@ -65,8 +65,8 @@
 
     Examples
     --------
-    >>> found = read_sources({"PAPAYAPICK_POLL_SECONDS": "2"})
-    >>> [(one.value, one.source) for one in found if one.setting.name == "poll_seconds"]
+    >>> sources = read_sources({"PAPAYAPICK_POLL_SECONDS": "2"})
+    >>> [(s.value, s.source) for s in sources if s.setting.name == "poll_seconds"]
     [(2.0, 'environment')]
     """
     return [_source_of(setting, environment) for setting in SETTINGS]
@@ -85,11 +85,11 @@
 
 def reference_page():
     """Return the page of all settings as Markdown."""
-    return _PAGE_HEAD + "".join(_row(setting) + "\n" for setting in SETTINGS)
+    return _PAGE_HEAD + "".join(_table_row(setting) + "\n" for setting in SETTINGS)
 
 
-def _row(setting):
-    default = "required" if setting.default is None else f"`{_shown(setting.default)}`"
+def _table_row(setting):
+    default = "required" if setting.default is None else f"`{_format(setting.default)}`"
     cells = (
         f"`{setting.flag}`",
         f"`{setting.variable}`",
@@ -101,5 +101,5 @@
     return "| " + " | ".join(cells) + " |"
 
 
-def _shown(value):
+def _format(value):
     return f"{value[0]}:{value[1]}" if isinstance(value, tuple) else value
--- a/papayapick/conf/reference.py
+++ b/papayapick/conf/reference.py
@@ -11,7 +11,7 @@
 
 
 def main():
-    """Write the page to standard output."""
+    """Write the reference page to standard output."""
     sys.stdout.write(reference_page())
 
 
--- a/papayapick/conf/setting.py
+++ b/papayapick/conf/setting.py
@@ -1,4 +1,4 @@
-"""Describe one setting and check what is given for it."""
+"""Describe one setting and parse the values given for it."""
 
 from papayapick.conf.exceptions import SettingInvalid
 
@@ -10,19 +10,20 @@
 
 
 class Setting:
-    """Describe one setting.
+    """Describe one setting: its name, kind, default and allowed values.
 
     Parameters
     ----------
     name : str
-        Lower case with underscores; gives the flag and the variable.
+        Lower case with underscores; flag and variable are derived from it.
     kind : {"text", "integer", "number", "address", "file", "url", "choice"}
     default : object
-        ``None`` where a value must be given.
+        ``None`` if a value is required.
     unit : str
     reason : str
-        Why the default is what it is.
+        Purpose of the setting or reason for its default, for help and hints.
     programs : tuple of str
+        Programs that read the setting.
     minimum, maximum : float, optional
     choices : tuple of str, optional
     """
@@ -73,20 +74,20 @@
 
     @property
     def allowed(self):
-        """Return what is allowed, in words."""
+        """Return a description of the allowed values."""
         if self.kind == "choice":
             return "one of " + ", ".join(self.choices)
         if self.kind in ("integer", "number"):
             return f"{self.kind} from {self.minimum} to {self.maximum} {self.unit}"
         return {
-            "address": "IP:PORT, port 0 for any free one",
+            "address": "IP:PORT, port 0 for any free port",
             "file": "the path of a readable file",
             "url": "http://HOST:PORT with an optional path",
-            "text": "text that is not empty",
+            "text": "non-empty text",
         }[self.kind]
 
     def parse(self, given):
-        """Check a given text and return its value.
+        """Parse and validate a given text.
 
         Parameters
         ----------
@@ -114,10 +115,10 @@
         return given
 
     def _parse_integer(self, given):
-        return self._within(int(given))
+        return self._check_range(int(given))
 
     def _parse_number(self, given):
-        return self._within(float(given))
+        return self._check_range(float(given))
 
     def _parse_address(self, given):
         host, separator, port = given.rpartition(":")
@@ -139,8 +140,8 @@
             raise ValueError
         return given
 
-    def _within(self, value):
-        # A value that is not a number compares false on both sides.
+    def _check_range(self, value):
+        # NaN compares false with both bounds and is rejected too.
         if not self.minimum <= value <= self.maximum:
             raise ValueError
         return value
--- a/papayapick/conf/settings.py
+++ b/papayapick/conf/settings.py
@@ -14,7 +14,7 @@
     Parameters
     ----------
     values : dict
-        Value by name of the setting.
+        Values by name of the setting.
 
     Examples
     --------
@@ -41,9 +41,10 @@
         ----------
         program : str
         arguments : dict, optional
-            Text by flag, as docopt gives it; goes before the environment.
+            Text by flag, as docopt returns it; takes precedence over the
+            environment.
         environment : dict, optional
-            Defaults to the process's own.
+            Defaults to ``os.environ``.
 
         Returns
         -------
@@ -74,7 +75,7 @@
 
     @staticmethod
     def usage(program):
-        """Return the lines of docopt's option section for a program."""
+        """Return the option section of a program's docopt usage text."""
         lines = []
         for setting in SETTINGS:
             if program not in setting.programs:
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked: a wrong one ends a program with one line and code 2."""
+"""Settings are validated: a program ends with exit code 2 and one line of error."""
 
 import os
 import subprocess
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("program", [GATEWAY, PLACER, OPERATOR])
-def test_defaults_suffice_beside_what_is_required(program, environment):
+def test_required_settings_and_defaults_are_sufficient(program, environment):
     settings = Settings.from_config(program, environment=environment)
     for setting in SETTINGS:
         if program in setting.programs and setting.default is not None:
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("program", [GATEWAY, PLACER])
-def test_every_flag_stands_in_help_with_variable_unit_and_reason(program):
+def test_every_flag_is_in_the_usage_with_variable_and_reason(program):
     usage = USAGES[program]
     for setting in SETTINGS:
         is_read = program in setting.programs
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("setting", SETTINGS, ids=lambda setting: setting.name)
-def test_missing_setting_is_named_with_flag_and_variable(setting, environment):
+def test_missing_setting_is_reported_with_flag_and_variable(setting, environment):
     if setting.default is not None:
         assert setting.reason
         return
@@ -84,17 +84,17 @@
     BAD_ROWS,
     ids=[f"{setting.name}={given}" for setting, given in BAD_ROWS],
 )
-def test_bad_value_is_told_on_one_line(setting, given, environment):
+def test_invalid_value_is_reported_on_one_line(setting, given, environment):
     environment[setting.variable] = given
     with pytest.raises(SettingInvalid) as caught:
         Settings.from_config(setting.programs[0], environment=environment)
-    told = str(caught.value)
-    assert told.startswith(f"{setting.flag}={given!r}: allowed is ")
-    assert "hint: " in told
-    assert "\n" not in told
+    message = str(caught.value)
+    assert message.startswith(f"{setting.flag}={given!r}: allowed is ")
+    assert "hint: " in message
+    assert "\n" not in message
 
 
-def test_flag_goes_before_the_variable(environment):
+def test_flag_takes_precedence_over_the_variable(environment):
     environment["PAPAYAPICK_POLL_SECONDS"] = "5"
     flags = {"--poll-seconds": "7"}
     assert Settings.from_config(GATEWAY, flags, environment).poll_seconds == 7
@@ -121,39 +121,39 @@
 
 
 def test_real_process_ends_with_code_2():
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "papayapick.placer.program", "--listen-peer=x"],
         capture_output=True,
         text=True,
         timeout=60,
         env={**os.environ, "PAPAYAPICK_CELL": "c"},
     )
-    assert (found.returncode, found.stdout) == (2, "")
-    assert found.stderr.count("\n") == 1
+    assert (completed.returncode, completed.stdout) == (2, "")
+    assert completed.stderr.count("\n") == 1
 
 
-def test_sources_tell_where_a_value_comes_from():
+def test_each_value_has_its_source():
     environment = {
         "PAPAYAPICK_POLL_SECONDS": "2",
         "PAPAYAPICK_HTTP_THREADS": "many",
     }
-    found = {one.setting.name: one for one in read_sources(environment)}
-    assert (found["poll_seconds"].value, found["poll_seconds"].source) == (
+    sources = {source.setting.name: source for source in read_sources(environment)}
+    assert (sources["poll_seconds"].value, sources["poll_seconds"].source) == (
         2.0,
         "environment",
     )
-    assert found["http_threads"].source == "wrong"
-    assert found["http_threads"].value_or_default == 16
-    assert found["cell"].source == "missing"
-    assert found["grant_seconds"].source == "default"
+    assert sources["http_threads"].source == "wrong"
+    assert sources["http_threads"].value_or_default == 16
+    assert sources["cell"].source == "missing"
+    assert sources["grant_seconds"].source == "default"
 
 
-def test_reference_page_is_in_step():
+def test_reference_page_is_up_to_date():
     page = Path(ROOT, "docs", "ref", "settings.md").read_text()
     assert page == reference_page()
 
 
-def test_each_setting_has_reason_and_each_number_its_range():
+def test_each_setting_has_a_reason_and_each_number_a_range():
     for setting in SETTINGS:
         assert setting.reason
         if setting.kind in ("integer", "number"):
