--- a/papayapick/__init__.py
+++ b/papayapick/__init__.py
@@ -1,4 +1,4 @@
-"""Schedule services, batch work and all-at-once jobs on shared hosts."""
+"""Schedule services, batch work and gang-scheduled jobs on shared hosts."""
 
 __all__ = ["VERSION"]
 
--- a/papayapick/clock.py
+++ b/papayapick/clock.py
@@ -1,4 +1,4 @@
-"""Supply time by injection, so that tests pause and advance it."""
+"""Provide injectable clocks, so that tests can control time."""
 
 import threading
 import time
@@ -8,7 +8,7 @@
 
 
 class Clock(Protocol):
-    """Tell monotonic and calendar time, and wait on events."""
+    """Provide monotonic and wall-clock time, and wait for events."""
 
     def monotonic(self) -> float:
         """Return seconds that never go back."""
@@ -17,20 +17,20 @@
         """Return seconds since the epoch."""
 
     def wait(self, event: threading.Event, seconds: float) -> bool:
-        """Wait for the event at most so many seconds; return whether it is set."""
+        """Wait for the event for at most ``seconds``; return whether it is set."""
 
 
 class SystemClock:
-    """Read the clock of the runtime."""
+    """Read the clocks of the operating system."""
 
     __slots__ = ()
 
     def monotonic(self):
-        """Return the runtime's monotonic seconds."""
+        """Return the seconds of the monotonic clock."""
         return time.monotonic()
 
     def time(self):
-        """Return the runtime's seconds since the epoch."""
+        """Return the seconds since the epoch."""
         return time.time()
 
     def wait(self, event, seconds):
@@ -39,21 +39,21 @@
 
 
 class BootClock(SystemClock):
-    """Count the time of a suspended machine too.
+    """Include the time for which the machine was suspended.
 
-    The plain monotonic clock stands still while a machine is suspended; a lease
-    that ran out meanwhile would seem to be in force.
+    The monotonic clock stops while a machine is suspended, so a lease that expired
+    in the meantime would seem to be valid.
     """
 
     __slots__ = ()
 
     def monotonic(self):
-        """Return seconds since the machine started, suspensions included."""
+        """Return the seconds since the machine booted, including suspensions."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ManualClock:
-    """Stand still until a test advances it.
+    """Change time only when a test advances it.
 
     Examples
     --------
@@ -78,7 +78,7 @@
         return self._now
 
     def advance(self, seconds):
-        """Move time forward and wake the waiters.
+        """Advance time and wake waiting threads.
 
         Parameters
         ----------
@@ -89,11 +89,11 @@
             self._condition.notify_all()
 
     def wait(self, event, seconds):
-        """Return once the event is set or the time has been advanced past."""
+        """Return whether the event is set, once it is or the time has passed."""
         deadline = self._now + seconds
         with self._condition:
             while self._now < deadline and not event.is_set():
-                # The event may be set by a thread that knows nothing of this
-                # condition, so the wait is cut into short pieces.
+                # Setting the event does not notify this condition, so the event is
+                # polled.
                 self._condition.wait(0.01)
         return event.is_set()
--- a/papayapick/daemon/__init__.py
+++ b/papayapick/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""What the gateway and the placer share as processes."""
+"""Provide the common parts of the gateway and placer processes."""
 
 from papayapick.daemon.process import Process
 from papayapick.daemon.program import run_program
--- a/papayapick/daemon/health.py
+++ b/papayapick/daemon/health.py
@@ -1,4 +1,4 @@
-"""Serve health and metrics of a process over HTTP."""
+"""Serve health checks and metrics of a process over HTTP."""
 
 from papayapick.listening import create_listener
 
@@ -8,7 +8,7 @@
 
 
 def health_response(path, process, is_ready):
-    """Return status line, content type and body, or None for another path.
+    """Return status line, content type and body, or None for any other path.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
 
 
 class HealthServer:
-    """Listen for health checks.
+    """Serve health checks and metrics on the HTTP address of the settings.
 
     Parameters
     ----------
@@ -42,24 +42,24 @@
         self._process = process
         self._is_ready = is_ready
         host, port = process.settings.listen_http
-        self._server = create_listener(self._answer, host=host, port=port, threads=1)
+        self._server = create_listener(self._respond, host=host, port=port, threads=1)
 
     @property
     def address(self):
-        """Return ``IP:PORT``."""
+        """Return the listening address as ``IP:PORT``."""
         return f"{self._server.effective_host}:{self._server.effective_port}"
 
     def start(self):
-        """Serve as a task of its own."""
+        """Serve in a thread of the process's executor."""
         self._process.executor.submit(self._server.run)
 
     def close(self):
         """Stop listening."""
         self._server.close()
 
-    def _answer(self, environ, start_response):
-        found = health_response(environ["PATH_INFO"], self._process, self._is_ready)
-        status, kind, body = found or ("404 Not Found", _TEXT, b"")
+    def _respond(self, environ, start_response):
+        response = health_response(environ["PATH_INFO"], self._process, self._is_ready)
+        status, kind, body = response or ("404 Not Found", _TEXT, b"")
         headers = [("Content-Type", kind), ("Content-Length", str(len(body)))]
         start_response(status, headers)
         return [body]
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -1,4 +1,4 @@
-"""Hold the parts that every process of a cell has."""
+"""Build and run the components that every process of a cell has."""
 
 import random
 import threading
@@ -22,22 +22,25 @@
 __all__ = ["Process"]
 
 _LOG = get_logger(__name__)
-# One task for each connection, peer and loop: idle ones cost stack only.
-_TASKS = 512
+# Each connection, peer and loop has a thread; an idle one costs only its stack.
+_MAX_THREADS = 512
 
 
 class Process:
-    """Build and run what the gateway and the placer have in common.
+    """Build and run the common components of the gateway and the placer.
 
     Parameters
     ----------
     settings : Settings
     program : str
-        Name for logs and traces.
+        Program name for traces and threads.
     handler : callable
         Answers peers' messages other than bundle queries.
     heartbeat_shards : callable
-        Returns the list of ShardSummary that this process tells peers.
+        Returns the list of ShardSummary that this process reports to peers.
+    on_bundle : callable, optional
+        Called with each new bundle once it is in force.
+    clock : Clock, optional
     """
 
     __slots__ = (
@@ -70,7 +73,7 @@
         self.clock = clock or SystemClock()
         self.metrics = Metrics()
         self.tracing = Tracing.from_config(settings, program)
-        self.executor = ThreadPoolExecutor(_TASKS, thread_name_prefix=program)
+        self.executor = ThreadPoolExecutor(_MAX_THREADS, thread_name_prefix=program)
         self.generator = random.Random(settings.seed or None)
         self.is_draining = False
         self._handler = handler
@@ -78,7 +81,9 @@
         self._stopping = threading.Event()
         self.pauses = PauseGuard(self.clock, settings.pause_seconds)
         self.platform_pool = HttpPool(settings.platform_timeout_seconds)
-        self.table = Table(settings.table_url, self.platform_pool, self._count_table)
+        self.table = Table(
+            settings.table_url, self.platform_pool, self._count_table_operation
+        )
         self.objects = ObjectStore(settings.objects_url, self.platform_pool)
         self.watcher = BundleWatcher(
             self.table,
@@ -93,28 +98,28 @@
 
     @property
     def stop_event(self):
-        """Return the event that ends every loop."""
+        """Return the event that ends every loop of the process."""
         return self._stopping
 
     def start(self):
-        """Start listening to peers and the loops."""
+        """Start the peer server and the periodic loops."""
         self.peer_server.start()
         self.loop(self._refresh, self.settings.poll_seconds)
         self.loop(self.pauses.count, self.pauses.tick_seconds)
 
     def loop(self, step, seconds):
-        """Run a step again and again as a task of its own until the process stops.
+        """Run a step repeatedly in a thread of its own until the process stops.
 
         Parameters
         ----------
         step : callable
         seconds : float
-            Between the end of a step and the next.
+            Delay between the end of a step and the next step.
         """
         self.executor.submit(self._loop, step, seconds)
 
     def close(self):
-        """End every loop, connection and task."""
+        """Stop every loop, connection and waiting task."""
         self._stopping.set()
         self.peers.close()
         self.peer_server.close()
@@ -123,7 +128,7 @@
         self.tracing.close()
 
     def heartbeat(self):
-        """Return what this process says of itself."""
+        """Return the heartbeat that this process sends to peers."""
         return Heartbeat(
             host=self.settings.host_name,
             bundle_sequence=self.watcher.sequence,
@@ -165,7 +170,7 @@
         self._head_gate = LookGate(self.clock, self.has_store_contact)
 
     def has_store_contact(self):
-        """Return whether the store is far and a live placer near it is known."""
+        """Return whether the store is in another region with a known live placer."""
         return self.peers.hears(self._store_region())
 
     def _store_region(self):
@@ -175,7 +180,7 @@
 
     def _answer(self, payload, peer, traceparent):
         if isinstance(payload, Heartbeat):
-            self._hear_asker(payload)
+            self._handle_peer_heartbeat(payload)
             answer = self.heartbeat()
             self.peers.add_summary(answer, payload.known or 0, peer.region)
             return answer
@@ -183,7 +188,7 @@
             return BundleBody(envelope=self.watcher.envelope_bytes(payload.digest))
         return self._handler(payload, peer, traceparent)
 
-    def _hear_asker(self, heartbeat):
+    def _handle_peer_heartbeat(self, heartbeat):
         head = PeerHead(
             heartbeat.host,
             heartbeat.bundle_sequence,
@@ -194,22 +199,22 @@
         )
 
         def fetch():
-            # The asker's envelope can't be fetched over its own connection;
-            # what was not verified before is fetched at the next heartbeat.
+            # The sender's envelope can't be fetched over the sender's connection; a
+            # bundle that is not verified yet is fetched at the next heartbeat.
             raise BundleUnknown(digest=heartbeat.bundle_digest)
 
-        before = self.watcher.sequence
+        previous_sequence = self.watcher.sequence
         self.watcher.handle_peer_head(head, fetch)
-        is_news = self.peers.note_head(heartbeat.head_version or 0)
-        if is_news or self.watcher.sequence != before:
-            # Once for each piece of news: a proposal is verified, and what was
-            # put in force acknowledged, without waiting for the next look.
-            self.executor.submit(self._look_at_head)
+        is_newer_head = self.peers.note_head(heartbeat.head_version or 0)
+        if is_newer_head or self.watcher.sequence != previous_sequence:
+            # The head is read once for each change: a proposal is verified, and a
+            # bundle put in force is acknowledged, before the next regular poll.
+            self.executor.submit(self._poll_head)
 
     def _refresh(self):
         self.peers.refresh()
         if self._head_gate.is_due(self._head_has_changed()):
-            self._look_at_head()
+            self._poll_head()
         self.metrics.bundle_sequence.set(self.watcher.sequence)
         set_process_fields(bundle_sequence=self.watcher.sequence)
 
@@ -218,24 +223,28 @@
         is_behind = self.peers.newest_head > watcher.head_version
         return is_behind or watcher.needs_acknowledgement or not watcher.is_confirmed
 
-    def _look_at_head(self):
+    def _poll_head(self):
         try:
             self.watcher.refresh()
         except TableUnavailable:
-            _LOG.debug("table down, bundle from peers only")
+            _LOG.debug("table unavailable; bundles come from peers only")
 
     def _loop(self, step, seconds):
         while not self._stopping.is_set():
             try:
                 step()
             except PlatformError as error:
-                _LOG.info("step put off", extra={"error": str(error)})
+                _LOG.info(
+                    "platform request failed; periodic step will be retried",
+                    extra={"error": str(error)},
+                )
             except Exception:
-                # One bad step must not end the loop that others depend on.
-                _LOG.exception("step failed")
+                # An error in one step must not end the loop: the following steps
+                # renew state that other processes depend on.
+                _LOG.exception("unexpected error in a periodic step")
             self.clock.wait(self._stopping, seconds)
 
-    def _count_table(self, operation):
+    def _count_table_operation(self, operation):
         self.metrics.table_operations.labels(operation).inc()
 
     def _count_bytes(self, purpose, distance, direction, size):
--- a/papayapick/daemon/program.py
+++ b/papayapick/daemon/program.py
@@ -1,4 +1,4 @@
-"""Run a daemon from its command line until it is told to stop."""
+"""Run a daemon from its command line until a signal stops it."""
 
 import os
 import signal
@@ -21,19 +21,19 @@
 
 
 def read_settings(usage, program, arguments=None):
-    """Read a program's settings; end with exit code 2 where one is wrong.
+    """Read a program's settings; exit with code 2 if they are invalid.
 
     Parameters
     ----------
     usage : str
-        Text for docopt.
+        Usage text for docopt.
     program : str
     arguments : list of str, optional
 
     Returns
     -------
     options : dict
-        As docopt gives them.
+        Options as parsed by docopt.
     settings : Settings
     """
     try:
@@ -49,7 +49,7 @@
 
 
 def run_program(usage, program, build):
-    """Run a daemon until SIGTERM or SIGINT.
+    """Run a daemon until SIGTERM or SIGINT; a second signal ends it without draining.
 
     Parameters
     ----------
@@ -57,7 +57,7 @@
     program : str
     build : callable
         Takes the settings and returns an object with ``start``, ``addresses``
-        and ``stop``; ``stop`` takes True where the operator insists.
+        and ``stop``; ``stop`` returns once the daemon has drained.
     """
     _, settings = read_settings(usage, program)
     configure_logs(settings, program)
@@ -70,26 +70,26 @@
     signals = []
     wakeup = threading.Event()
 
-    def note(number, frame):
+    def on_signal(number, frame):
         signals.append(number)
         wakeup.set()
 
-    signal.signal(signal.SIGTERM, note)
-    signal.signal(signal.SIGINT, note)
+    signal.signal(signal.SIGTERM, on_signal)
+    signal.signal(signal.SIGINT, on_signal)
     daemon.start()
     _LOG.info("listening", extra=daemon.addresses())
-    _wait(signals, wakeup)
+    _wait_for_signal(signals, wakeup)
     _LOG.info("draining")
     stopper = threading.Thread(target=daemon.stop, daemon=True)
     stopper.start()
     while stopper.is_alive() and len(signals) < 2:
         stopper.join(0.05)
     _LOG.info("stopped", extra={"at_once": len(signals) > 1})
-    # Tasks blocked on a peer would hold the interpreter open.
+    # Threads that block on a peer would keep the interpreter from exiting.
     sys.stderr.flush()
     os._exit(0)
 
 
-def _wait(signals, wakeup):
+def _wait_for_signal(signals, wakeup):
     while not signals:
         wakeup.wait(1.0)
--- a/papayapick/exceptions.py
+++ b/papayapick/exceptions.py
@@ -1,18 +1,18 @@
-"""Define the root of the exception tree."""
+"""Define the base class of all errors."""
 
 __all__ = ["PapayapickError", "RetryAfter"]
 
 
 class PapayapickError(Exception):
-    """Carry a typed failure with its details.
+    """Base class of all errors, with a stable code and details.
 
-    A subclass names its stable identifier in ``code`` and its sentence in
-    ``template``; the details fill the sentence.
+    A subclass sets its stable identifier in ``code`` and its message in
+    ``template``, which is formatted with the details.
 
     Parameters
     ----------
     **details : object
-        Values named in ``template``.
+        Values for the fields of ``template``.
 
     Examples
     --------
@@ -32,7 +32,7 @@
 
     @property
     def details(self):
-        """Return the values that fill the sentence.
+        """Return the values with which the message was formatted.
 
         Returns
         -------
@@ -42,7 +42,7 @@
 
 
 class RetryAfter:
-    """Mix into an error the time after which coming back helps.
+    """Add to an error the delay after which a retry may succeed.
 
     Examples
     --------
@@ -53,10 +53,10 @@
     (0.2, 1.0)
     """
 
-    # Seconds, where the error's details don't say.
-    usual_retry_after = 1.0
+    # In seconds, for errors whose details don't contain ``retry_after``.
+    default_retry_after = 1.0
 
     @property
     def retry_after(self):
-        """Return the seconds after which coming back helps."""
-        return self._details.get("retry_after", self.usual_retry_after)
+        """Return the delay in seconds after which a retry may succeed."""
+        return self._details.get("retry_after", self.default_retry_after)
--- a/papayapick/listening.py
+++ b/papayapick/listening.py
@@ -1,4 +1,4 @@
-"""Listen for HTTP with waitress, and stop without harm to other connections."""
+"""Create waitress servers that can be closed while requests are served."""
 
 import threading
 
@@ -8,26 +8,31 @@
 
 
 def create_listener(application, **options):
-    """Return a server of waitress that may be closed while requests are served.
+    """Return a waitress server that can be closed while requests are served.
 
     Parameters
     ----------
     application : callable
-        Of WSGI.
+        WSGI application.
     **options
-        As ``waitress.server.create_server`` takes them.
+        Options of ``waitress.server.create_server``.
 
     Returns
     -------
     waitress.server.BaseWSGIServer or waitress.server.MultiSocketServer
     """
-    # With select, the loop ends at a descriptor over 1023, and at one that another
-    # thread has closed: the process would go on and answer nobody.
+    # select raises an error for a descriptor over 1023 and for one that another thread
+    # has closed. This would end the server's loop, and the process would keep running
+    # without answering requests; poll has neither problem.
     server = create_server(application, asyncore_use_poll=True, **options)
     listeners = (
         [server]
         if isinstance(server, BaseWSGIServer)
-        else [one for one in server.map.values() if isinstance(one, BaseWSGIServer)]
+        else [
+            channel
+            for channel in server.map.values()
+            if isinstance(channel, BaseWSGIServer)
+        ]
     )
     for listener in listeners:
         _GuardedTrigger(listener.trigger)
@@ -37,11 +42,11 @@
 class _GuardedTrigger:
     """Write to a trigger's pipe only while it is open.
 
-    A thread that answers a request wakes the server's loop by a byte on a pipe whose
-    number it has kept. Once the server is closed, that number belongs to whatever was
-    opened next: a connection of this process got a stray byte in front of a request,
-    and its other side refused the request as malformed. Closing and waking take turns
-    under a lock, and nothing is written after the close.
+    A thread that answers a request wakes the server's loop by writing a byte to a pipe,
+    whose descriptor number it has stored. Once the server is closed, the number may be
+    reused: a new connection of the process then sends a stray byte in front of a
+    request, and its peer rejects the request as malformed. A lock serializes waking and
+    closing, and nothing is written after the close.
     """
 
     __slots__ = ("_close", "_is_closed", "_lock", "_pull")
@@ -53,7 +58,7 @@
         trigger.pull_trigger, trigger.close = self.pull, self.close
 
     def pull(self, thunk=None):
-        """Wake the loop; do nothing once it is closed."""
+        """Wake the server's loop, unless the pipe is closed."""
         with self._lock:
             if not self._is_closed:
                 self._pull(thunk)
