--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -93,7 +93,7 @@
             except PeerRefused as error:
                 if not indicates_new_owner(error) or clock.monotonic() >= deadline:
                     raise
-            clock.wait(self._process.is_stopping, NEW_OWNER_RETRY_SECONDS)
+            clock.wait(self._process.stop_event, NEW_OWNER_RETRY_SECONDS)
 
     def _shard_from_id(self, request_id):
         shard = request_id.rpartition(".")[0]
--- a/papayapick/gateway/submission.py
+++ b/papayapick/gateway/submission.py
@@ -118,7 +118,7 @@
                 last = error
             if clock.monotonic() >= self._give_up_at:
                 return self._conclude_without_owner(last)
-            clock.wait(self._process.is_stopping, NEW_OWNER_RETRY_SECONDS)
+            clock.wait(self._process.stop_event, NEW_OWNER_RETRY_SECONDS)
 
     def _conclude_without_owner(self, last):
         request_id = self._admitted.request_id
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -125,7 +125,7 @@
 
     def _may_replace_slot(self, state, void_slots):
         clock = self._process.clock
-        clock.wait(self._process.is_stopping, _NEW_OWNER_RETRY_SECONDS)
+        clock.wait(self._process.stop_event, _NEW_OWNER_RETRY_SECONDS)
         return void_slots < _SLOT_ATTEMPTS and clock.monotonic() < state.deadline
 
     @staticmethod
@@ -229,7 +229,7 @@
                     raise
                 if attempt + 1 == _SLOT_ATTEMPTS:
                     raise
-            clock.wait(self._process.is_stopping, _NEW_OWNER_RETRY_SECONDS)
+            clock.wait(self._process.stop_event, _NEW_OWNER_RETRY_SECONDS)
             if clock.monotonic() >= state.deadline:
                 break
         raise DeadlineExceeded(service=admitted.name)
