--- a/papayapick/checks/bundles.py
+++ b/papayapick/checks/bundles.py
@@ -39,7 +39,9 @@
     bundle, entries = context.compared_bundle, context.entries
     if bundle is None or entries is None:
         return
-    listed_services = {entry.service for entry in entries if entry.kind == INSTANCE_KIND}
+    listed_services = {
+        entry.service for entry in entries if entry.kind == INSTANCE_KIND
+    }
     for name in sorted(set(bundle.services) - listed_services):
         message = f"service {name} has no instance on the live list"
         yield Finding("bundle.W001", message, "its requests will be refused")
--- a/tests/membership/test_announce.py
+++ b/tests/membership/test_announce.py
@@ -76,7 +76,7 @@
     def __init__(self):
         self.polls = 0
         self.newest = 0
-        self.watcher = SimpleNamespace(sequence=4, hear=self.activate)
+        self.watcher = SimpleNamespace(sequence=4, handle_peer_head=self.activate)
         self.peers = SimpleNamespace(note_head=self.note_head)
         self.executor = SimpleNamespace(submit=lambda task: task())
 
@@ -88,7 +88,7 @@
         self.newest = max(self.newest, version)
         return is_newer
 
-    def _look_at_head(self):
+    def _poll_head(self):
         self.polls += 1
 
 
@@ -114,5 +114,5 @@
         heartbeat = Heartbeat(
             host="a", bundle_sequence=sequence, bundle_digest="d", head_version=version
         )
-        Process._hear_asker(process, heartbeat)
+        Process._handle_peer_heartbeat(process, heartbeat)
     assert process.polls == polls
