--- a/papayapick/routing/loads.py
+++ b/papayapick/routing/loads.py
@@ -6,6 +6,7 @@
 
 _UNREACHABLE_SECONDS = 1.0
 _REFUSAL_SECONDS = 0.5
+# More slots than any shard has, so that the shard counts as full.
 _ALL_SLOTS = 1 << 20
 
 
