--- a/papayapick/gateway/durable.py
+++ b/papayapick/gateway/durable.py
@@ -70,23 +70,23 @@
     def query(self, request_id):
         """Return the state of a request, and its result once it has ended."""
         shard = self._shard_from_id(request_id)
-        wanted = WorkQuery(shard=shard, request_id=request_id)
-        return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
+        message = WorkQuery(shard=shard, request_id=request_id)
+        return self._state_answer(self._request_owner(message, ANSWER_SECONDS))
 
     def cancel(self, request_id):
         """Cancel a request; return its state, which shows whether it had started."""
         shard = self._shard_from_id(request_id)
-        wanted = WorkCancel(shard=shard, request_id=request_id)
-        return self._state_answer(self._ask(wanted, ANSWER_SECONDS))
+        message = WorkCancel(shard=shard, request_id=request_id)
+        return self._state_answer(self._request_owner(message, ANSWER_SECONDS))
 
-    def _ask(self, wanted, seconds):
+    def _request_owner(self, message, seconds):
         clock = self._process.clock
         traceparent = self._process.tracing.traceparent()
         deadline = clock.monotonic() + NEW_OWNER_TIMEOUT_SECONDS
         while True:
             try:
-                peer = self._process.peers.owner_of(wanted.shard)
-                return peer.client.ask(wanted, seconds, traceparent)
+                peer = self._process.peers.owner_of(message.shard)
+                return peer.client.ask(message, seconds, traceparent)
             except (ShardUnserved, PeerUnreachable):
                 if clock.monotonic() >= deadline:
                     raise
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -25,7 +25,7 @@
 _SERVER_ERROR = 500
 _SLOT_ATTEMPTS = 4
 _NEW_OWNER_RETRY_SECONDS = 0.02
-_SLOT_SHARE = 0.8
+_SLOT_WAIT_SHARE = 0.8
 DONE, LEAVING, FAILED = "done", "leaving", "failed"
 UNKNOWN, UNUSED, STALE = "unknown", "unused", "stale"
 
@@ -33,12 +33,12 @@
 class _RequestState:
     """Hold the state that the attempts of one request share."""
 
-    __slots__ = ("admitted", "arrived", "avoid", "deadline", "error", "may_have_run")
+    __slots__ = ("admitted", "arrived_at", "avoid", "deadline", "error", "may_have_run")
 
-    def __init__(self, admitted, arrived):
+    def __init__(self, admitted, arrived_at):
         self.admitted = admitted
-        self.arrived = arrived
-        self.deadline = arrived + admitted.timeout
+        self.arrived_at = arrived_at
+        self.deadline = arrived_at + admitted.timeout
         self.avoid = []
         self.error = None
         self.may_have_run = False
@@ -151,7 +151,7 @@
         clock = self._process.clock
         started_at = clock.monotonic()
         self._process.metrics.wait_seconds.labels(admitted.name).observe(
-            started_at - state.arrived
+            started_at - state.arrived_at
         )
         outcome = UNUSED
         try:
@@ -238,5 +238,5 @@
         """Return how long a request may wait for a slot and be answered in time."""
         usual = self._timeouts.usual_seconds(service)
         if usual is None:
-            return max(0.0, remaining * _SLOT_SHARE)
+            return max(0.0, remaining * _SLOT_WAIT_SHARE)
         return max(0.0, remaining - usual)
--- a/papayapick/journal/segments.py
+++ b/papayapick/journal/segments.py
@@ -17,12 +17,12 @@
     owned : ShardRow
     """
 
-    __slots__ = ("_keys", "_next", "_owned", "_records", "_snapshot_version")
+    __slots__ = ("_keys", "_next_number", "_owned", "_records", "_snapshot_version")
 
     def __init__(self, owned):
         self._owned = owned
         self._keys = []
-        self._next = 0
+        self._next_number = 0
         # Number of records in segments that are not in a snapshot yet.
         self._records = 0
         self._snapshot_version = 0
@@ -30,7 +30,7 @@
     @property
     def next_key(self):
         """Return the key of the next segment to write."""
-        return segment_key(self._owned.shard, self._owned.epoch, self._next)
+        return segment_key(self._owned.shard, self._owned.epoch, self._next_number)
 
     def resume_from(self, state):
         """Continue from a journal as read; must precede the first write."""
@@ -51,7 +51,7 @@
 
     def note_written(self, key, records):
         """Record that the next segment was written with a number of records."""
-        self._next += 1
+        self._next_number += 1
         self._keys.append(key)
         self._records += records
 
@@ -85,7 +85,7 @@
             The records stay readable.
         """
         owned = self._owned
-        name = f"snapshot/{owned.shard}/{owned.epoch:010d}/{self._next:010d}"
+        name = f"snapshot/{owned.shard}/{owned.epoch:010d}/{self._next_number:010d}"
         keys = self._keys[:MAX_DELETED_ROWS]
         self._snapshot_version = write_snapshot(
             table, objects, owned, records, keys, self._snapshot_version, name
--- a/papayapick/membership/heartbeat_exchange.py
+++ b/papayapick/membership/heartbeat_exchange.py
@@ -24,14 +24,14 @@
     """
     allowed = settings.dead_after_seconds * RELAY_SILENCE_SHARE
     near, far = [], []
-    for found in peers.peers():
-        if not peers.is_far(found):
-            if found.last_heartbeat and peers.silence(found) <= allowed:
-                near.append(found.name)
-        elif found.entry.region == peer.entry.region and _answers(
-            peers, settings, found, now
+    for other in peers.peers():
+        if not peers.is_far(other):
+            if other.last_heartbeat and peers.silence(other) <= allowed:
+                near.append(other.name)
+        elif other.entry.region == peer.entry.region and _answers(
+            peers, settings, other, now
         ):
-            far.append(found.name)
+            far.append(other.name)
     return contacts_far_placer(
         settings.host_name, settings.region, near, far, peer.name
     )
--- a/papayapick/ownership/assignments.py
+++ b/papayapick/ownership/assignments.py
@@ -75,9 +75,9 @@
     str or None
     """
     zone = zone_of(shard)
-    nearest = [found for found in placers if found.zone == zone]
+    nearest = [placer for placer in placers if placer.zone == zone]
     if not nearest and placers:
         nearest = placers
     if not nearest:
         return None
-    return max(nearest, key=lambda found: _score(shard, found.name)).name
+    return max(nearest, key=lambda placer: _score(shard, placer.name)).name
--- a/papayapick/ownership/leases.py
+++ b/papayapick/ownership/leases.py
@@ -6,11 +6,11 @@
 
 
 class _Lease:
-    __slots__ = ("answered", "sent")
+    __slots__ = ("last_answered_at", "last_sent_at")
 
     def __init__(self, now):
-        self.sent = now
-        self.answered = now
+        self.last_sent_at = now
+        self.last_answered_at = now
 
 
 class LeaseTracker:
@@ -67,7 +67,7 @@
         with self._lock:
             for task in tasks:
                 if task in self._leases:
-                    self._leases[task].sent = now
+                    self._leases[task].last_sent_at = now
 
     def note_answer(self, tasks):
         """Record that the worker answered this owner about the tasks."""
@@ -75,7 +75,7 @@
         with self._lock:
             for task in tasks:
                 lease = self._leases.setdefault(task, _Lease(now))
-                lease.answered = now
+                lease.last_answered_at = now
 
     def remove(self, tasks):
         """Remove tasks that have ended."""
@@ -89,7 +89,7 @@
         with self._lock:
             return any(
                 task in self._leases
-                and now - self._leases[task].answered > self._seconds / 2
+                and now - self._leases[task].last_answered_at > self._seconds / 2
                 for task in tasks
             )
 
@@ -98,6 +98,7 @@
         now = self._clock.monotonic()
         with self._lock:
             return all(
-                task in self._leases and now - self._leases[task].sent > self._seconds
+                task in self._leases
+                and now - self._leases[task].last_sent_at > self._seconds
                 for task in tasks
             )
--- a/tests/journal/test_writer.py
+++ b/tests/journal/test_writer.py
@@ -32,11 +32,11 @@
 
     def __init__(self, board):
         super().__init__(board)
-        self.is_late = False
+        self.is_unanswered = False
         self.late = []
 
     def transact(self, conditions, writes):
-        if self.is_late:
+        if self.is_unanswered:
             self.late.append((conditions, writes))
             raise TableUnavailable()
         super().transact(conditions, writes)
@@ -136,7 +136,7 @@
 def test_records_are_refused_while_the_result_of_a_write_is_unknown(store):
     table, _ = store
     owner = Owner(*store, "a")
-    table.is_late = True
+    table.is_unanswered = True
     entry = owner.journal.append(accepted("r1"))
     owner.journal._stop.set()
     owner.journal.write_segment()
@@ -157,7 +157,7 @@
     table, _ = store
     owner = Owner(*store, "a")
     owner.write(accepted("r1"))
-    table.is_late = True
+    table.is_unanswered = True
     entry = owner.journal.append(Started("r1", 1, [], 0.0))
     table.transact = unanswered_first(table, 1)
     owner.journal.write_segment()
