--- a/papayapick/management/commands/cell.py
+++ b/papayapick/management/commands/cell.py
@@ -94,22 +94,22 @@
     def _hosts(self, cell, view):
         owned = Counter(one.served_by for one in view.shards.values() if one.served_by)
         for entry in process_entries(view.entries or []):
-            beat = view.heartbeats.get(entry.name)
-            says = "silent"
-            if beat:
-                says = f"bundle {beat.bundle_sequence}"
-                says += ", draining" if beat.draining else ""
-                says += f", {owned[entry.name]} shards" if owned[entry.name] else ""
+            heartbeat = view.heartbeats.get(entry.name)
+            summary = "silent"
+            if heartbeat:
+                summary = f"bundle {heartbeat.bundle_sequence}"
+                summary += ", draining" if heartbeat.draining else ""
+                summary += f", {owned[entry.name]} shards" if owned[entry.name] else ""
             self.output.write(
-                f"{entry.kind} {entry.name} {entry.zone} {entry.state}: {says}",
+                f"{entry.kind} {entry.name} {entry.zone} {entry.state}: {summary}",
                 host=entry.name,
                 kind=entry.kind,
                 region=entry.region,
                 zone=entry.zone,
                 state=entry.state,
-                answers=beat is not None,
-                sequence=beat.bundle_sequence if beat else None,
-                draining=beat.draining if beat else None,
+                answers=heartbeat is not None,
+                sequence=heartbeat.bundle_sequence if heartbeat else None,
+                draining=heartbeat.draining if heartbeat else None,
                 shards=owned[entry.name],
             )
         processes = set(view.heartbeats)
@@ -131,7 +131,9 @@
         for name, shard in sorted(view.shards.items()):
             owner = f"{shard.owner or 'nobody'} at epoch {shard.epoch}"
             if shard.owner is None:
-                owner = f"{shard.served_by} at epoch {shard.served_epoch} by its word"
+                owner = (
+                    f"{shard.served_by} at epoch {shard.served_epoch} by its own claim"
+                )
             slots = ", ".join(
                 f"{service} {free} free {shard.waiting[service]} waiting"
                 for service, free in sorted(shard.free_slots.items())
--- a/papayapick/management/commands/logs.py
+++ b/papayapick/management/commands/logs.py
@@ -15,7 +15,7 @@
 
 __all__ = ["LogsCommand"]
 
-_MARKS = {True: "*", False: " "}
+_DECIDING_MARKS = {True: "*", False: " "}
 _END_NOTES = {True: "", False: "; the logs end before a host took it"}
 _MIN_SHOWN_SECONDS = 0.05
 
@@ -89,7 +89,7 @@
     def _show_reversals(self, reversals):
         longest = max(reversals.values())
         self.output.write(
-            f"lines of {len(reversals)} jobs stand in reverse order, by up to "
+            f"lines of {len(reversals)} jobs are in reverse order, by up to "
             f"{longest:.2f} s: no wait is counted between them",
             reversed_jobs=len(reversals),
             longest_reversed_seconds=round(longest, 3),
@@ -106,7 +106,7 @@
                 [*shown, *timeline.context_lines()], key=lambda line: line.seconds
             )
         for line in shown:
-            self._show(line, line is deciding)
+            self._show_line(line, line is deciding)
         vacancies = [_vacancy_mapping(vacancy) for vacancy in timeline.vacancies()]
         self.output.write(
             f"{timeline.request_id}: {timeline.status}; decided by: "
@@ -127,9 +127,9 @@
             except OSError as error:
                 raise FileUnreadable(path=path, reason=error.strerror) from error
 
-    def _show(self, line, is_deciding):
+    def _show_line(self, line, is_deciding):
         self.output.write(
-            f"{_MARKS[is_deciding]} {line.time} {line.host} {line.event}: "
+            f"{_DECIDING_MARKS[is_deciding]} {line.time} {line.host} {line.event}: "
             f"{line.format_fields()}",
             is_deciding=is_deciding,
             **line.fields,
--- a/papayapick/observability/access.py
+++ b/papayapick/observability/access.py
@@ -13,12 +13,12 @@
 
 
 class AccessLog:
-    """Log method, path, status and outcome; never a body, a key or another header.
+    """Log method, path, status and outcome of requests, never bodies, keys or headers.
 
     Parameters
     ----------
     logged : {"all", "failures", "none"}
-        Which requests are written.
+        Which requests are logged.
     clock : Clock
     """
 
--- a/papayapick/observability/log_reader.py
+++ b/papayapick/observability/log_reader.py
@@ -77,7 +77,7 @@
 
 
 def _unix_seconds(text):
-    moment = datetime.fromisoformat(text)
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=UTC)
-    return moment.timestamp()
+    parsed = datetime.fromisoformat(text)
+    if parsed.tzinfo is None:
+        parsed = parsed.replace(tzinfo=UTC)
+    return parsed.timestamp()
--- a/papayapick/observability/metrics.py
+++ b/papayapick/observability/metrics.py
@@ -35,7 +35,7 @@
 
     def __init__(self):
         self._registry = CollectorRegistry()
-        # The process's memory and processor time have limits too.
+        # The process's memory and processor time have limits too, so export them.
         ProcessCollector(registry=self._registry)
         self.requests = self._counter(
             "papayapick_requests", "Requests answered", ("service", "outcome")
--- a/papayapick/observability/reference.py
+++ b/papayapick/observability/reference.py
@@ -17,7 +17,7 @@
     """Write the named page to standard output."""
     name = sys.argv[1] if len(sys.argv) > 1 else "metrics"
     if name not in PAGES:
-        sys.exit(f"no page {name}; there are {', '.join(sorted(PAGES))}")
+        sys.exit(f"unknown page {name}; known pages: {', '.join(sorted(PAGES))}")
     sys.stdout.write(PAGES[name]())
 
 
--- a/papayapick/observability/registry.py
+++ b/papayapick/observability/registry.py
@@ -55,7 +55,7 @@
     def __init__(self):
         self._registry = CollectorRegistry()
         self._metrics = []
-        # The process's memory and processor time have limits too.
+        # The process's memory and processor time have limits too, so export them.
         self._process = ProcessCollector(registry=self._registry)
 
     def add(self, metric_class, section, name, text, labels, **options):
@@ -74,7 +74,7 @@
         for section, _, metric in sorted(collectors, key=_section_and_name):
             for family in metric.collect():
                 if section == PageSection.BACKLOGS:
-                    family.samples.sort(key=_value, reverse=True)
+                    family.samples.sort(key=_sample_value, reverse=True)
                 if family.samples:
                     yield family
 
@@ -83,7 +83,7 @@
     return entry[:2]
 
 
-def _value(sample):
+def _sample_value(sample):
     return sample.value
 
 
--- a/tests/checks/test_checks.py
+++ b/tests/checks/test_checks.py
@@ -72,15 +72,15 @@
     environment = _environment(tmp_path)
     environment.update(change)
     environment = {name: value for name, value in environment.items() if value}
-    found = CheckContext([], True, environment)
+    context = CheckContext([], True, environment)
     checks = (settings.check_settings, settings.check_variables)
     checks += (settings.check_intervals,)
-    assert [one for check in checks for one in ids(check(found))] == expected
+    assert [one for check in checks for one in ids(check(context))] == expected
 
 
 def test_hint_names_the_nearest_variable():
-    found = CheckContext([], True, {"PAPAYAPICK_POL_SECONDS": "1"})
-    (finding,) = settings.check_variables(found)
+    context = CheckContext([], True, {"PAPAYAPICK_POL_SECONDS": "1"})
+    (finding,) = settings.check_variables(context)
     assert "PAPAYAPICK_POLL_SECONDS" in finding.hint
 
 
@@ -125,8 +125,8 @@
     path = tmp_path / "operators.json"
     path.write_text(json.dumps({name: KEY.decode() for name in names}))
     path.chmod(mode)
-    found = CheckContext([], True, environment)
-    assert ids(keys.check_operator_keys(found)) == expected
+    context = CheckContext([], True, environment)
+    assert ids(keys.check_operator_keys(context)) == expected
 
 
 DOCUMENTS = [
@@ -151,8 +151,8 @@
 
 def test_bundle_of_another_cell_is_found(tmp_path):
     environment = {**_environment(tmp_path), "PAPAYAPICK_CELL": "wayleave"}
-    found = CheckContext([BUNDLE], True, environment)
-    assert ids(bundles.check_bundles(found)) == ["bundle.E003"]
+    context = CheckContext([BUNDLE], True, environment)
+    assert ids(bundles.check_bundles(context)) == ["bundle.E003"]
 
 
 def _entry(kind, zone="hobart-a", region="south-tas", service="", state="live"):
@@ -224,10 +224,10 @@
     ("change", "expected"), [row[1:] for row in LISTS], ids=[row[0] for row in LISTS]
 )
 def test_bundle_and_live_list_are_compared(change, expected):
-    found = CheckContext([BUNDLE])
-    found.entries = change(_complete_list())
+    context = CheckContext([BUNDLE])
+    context.entries = change(_complete_list())
     checks = (bundles.check_services, bundles.check_hosts, bundles.check_teams)
-    assert [one for check in checks for one in ids(check(found))] == expected
+    assert [one for check in checks for one in ids(check(context))] == expected
 
 
 class FakeAnswer:
@@ -260,15 +260,15 @@
     ("date", "expected"), [row[1:] for row in CLOCKS], ids=[row[0] for row in CLOCKS]
 )
 def test_wrong_clock_is_found(date, expected):
-    found = CheckContext([], clock=ManualClock(NOW))
-    found.settings = Settings({"hosts_url": "http://127.0.0.1:1"})
-    found.pool = FakePool(date)
-    assert ids(platform.check_clock(found)) == expected
+    context = CheckContext([], clock=ManualClock(NOW))
+    context.settings = Settings({"hosts_url": "http://127.0.0.1:1"})
+    context.pool = FakePool(date)
+    assert ids(platform.check_clock(context)) == expected
 
 
 def test_platform_that_does_not_answer_is_found(tmp_path):
-    found = CheckContext([], True, _environment(tmp_path))
-    assert ids(platform.check_reachability(found)) == [
+    context = CheckContext([], True, _environment(tmp_path))
+    assert ids(platform.check_reachability(context)) == [
         "platform.E001",
         "platform.E002",
         "platform.E003",
@@ -276,17 +276,17 @@
 
 
 PROCESSES = [
-    ("right", lambda environment, found: None, []),
+    ("right", lambda environment, context: None, []),
     (
         "other key",
-        lambda environment, found: Path(environment["PAPAYAPICK_CELL_KEY"]).write_bytes(
-            base64.b64encode(b"n" * 32)
-        ),
+        lambda environment, context: Path(
+            environment["PAPAYAPICK_CELL_KEY"]
+        ).write_bytes(base64.b64encode(b"n" * 32)),
         ["process.W001"] * 6,
     ),
     (
         "table ahead",
-        lambda environment, found: setattr(found, "table", TableAhead()),
+        lambda environment, context: setattr(context, "table", TableAhead()),
         ["process.W002"] * 6,
     ),
 ]
@@ -310,9 +310,9 @@
     environment = footfall._environment()
     key.write_bytes(Path(environment["PAPAYAPICK_CELL_KEY"]).read_bytes())
     environment["PAPAYAPICK_CELL_KEY"] = str(key)
-    found = CheckContext([], True, environment)
-    change(environment, found)
-    assert ids(processes.check_processes(found)) == expected
+    context = CheckContext([], True, environment)
+    change(environment, context)
+    assert ids(processes.check_processes(context)) == expected
 
 
 def test_running_cell_has_no_errors(footfall):
--- a/tests/management/test_owner_client.py
+++ b/tests/management/test_owner_client.py
@@ -53,7 +53,7 @@
         return found
 
 
-def ask(owners, answers):
+def send(owners, answers):
     client = OwnerClient(
         FakeTable(*owners), lambda: FakePeers(answers), SteppingClock()
     )
@@ -84,7 +84,7 @@
     one placer and the claim by the next, or when it sent to the placer that had just
     released the shard.
     """
-    assert ask(owners, {"a": first, "b": DONE}) is DONE
+    assert send(owners, {"a": first, "b": DONE}) is DONE
 
 
 @pytest.mark.parametrize(
@@ -99,4 +99,4 @@
 )
 def test_persistent_error_is_raised(owner, answers, error):
     with pytest.raises(error):
-        ask([owner], answers)
+        send([owner], answers)
--- a/tests/management/test_waits.py
+++ b/tests/management/test_waits.py
@@ -158,7 +158,7 @@
     assert found[-1] == {"reversed_jobs": 1, "longest_reversed_seconds": 0.3}
     assert _sums(found[:-1]) == {"brief": 0.5}
     _, output, _ = _waits(tmp_path, lines)
-    assert "lines of 1 jobs stand in reverse order, by up to 0.30 s" in output
+    assert "lines of 1 jobs are in reverse order, by up to 0.30 s" in output
 
 
 def test_logs_with_only_reversed_waits_are_summed(tmp_path):
