--- a/papayapick/management/commands/bundle.py
+++ b/papayapick/management/commands/bundle.py
@@ -128,6 +128,7 @@
         return self._roll_envelope(settings, envelope)
 
     def _roll_envelope(self, settings, envelope):
+        # Refuses an invalid --wait before anything is written.
         self._wait_seconds()
         if envelope.bundle.cell != settings.cell:
             raise BundleInvalid(
@@ -173,7 +174,7 @@
         try:
             missing = self._wait_for_states(table, names, proposal, states=None)
         except KeyboardInterrupt:
-            # While a proposal is open, other operators' rolls are refused.
+            # Other operators' rolls are refused until an open proposal lapses.
             withdraw(table, proposal)
             raise RollInterrupted() from None
         if missing and not self.options["--force"]:
--- a/papayapick/management/views.py
+++ b/papayapick/management/views.py
@@ -35,7 +35,7 @@
 
     @property
     def is_served(self):
-        """Return whether its owner in the table serves it; any process if not read."""
+        """Return whether its owner serves it, or any process if no owner is known."""
         if not self.served_by:
             return False
         if self.owner is None:
@@ -81,12 +81,14 @@
     @property
     def answering(self):
         """Return the names of the processes that answered."""
-        return sorted(name for name, beat in self.heartbeats.items() if beat)
+        return sorted(name for name, heartbeat in self.heartbeats.items() if heartbeat)
 
     @property
     def silent(self):
         """Return the names of the processes that did not answer."""
-        return sorted(name for name, beat in self.heartbeats.items() if not beat)
+        return sorted(
+            name for name, heartbeat in self.heartbeats.items() if not heartbeat
+        )
 
     @property
     def behind(self):
@@ -136,19 +138,19 @@
     with connect(entries or []) as peers:
         heartbeats = peers.heartbeats()
     shards = {name: ShardView(name, row) for name, row in rows.items()}
-    for host, beat in heartbeats.items():
-        for owner, summary in _claims(host, beat):
+    for host, heartbeat in heartbeats.items():
+        for owner, summary in _claims(host, heartbeat):
             shard = shards.setdefault(summary.shard, ShardView(summary.shard))
             shard.record_claim(owner, summary)
     return CellView(head, shards, entries, heartbeats)
 
 
-def _claims(host, beat):
-    if beat is None:
+def _claims(host, heartbeat):
+    if heartbeat is None:
         return
-    for summary in beat.shards or ():
+    for summary in heartbeat.shards or ():
         yield host, summary
     # A process of another region sends a summary of all placers of its region.
-    for placer in beat.placers or ():
+    for placer in heartbeat.placers or ():
         for summary in placer.shards or ():
             yield placer.host, summary
