--- a/papayapick/management/commands/cell.py
+++ b/papayapick/management/commands/cell.py
@@ -16,7 +16,7 @@
     """Show the state of a live cell, without changing it."""
 
     name = "cell"
-    usage = """Show the state of a live cell. Nothing here changes it.
+    usage = """Show the state of a live cell, without changing it.
 
 Usage:
   papayapick cell status [--json]
@@ -27,7 +27,8 @@
 status sums up; hosts shows each process and counts workers and instances;
 shards shows owner, epoch, free slots and waiting requests of each shard.
 
-Exit code 0 when all processes answer and all shards are served, otherwise 3.
+Exit code 0 when everything answers, is served and runs the accepted bundle,
+otherwise 3.
 
 Options:
   --json  Write JSON lines for programs.
--- a/papayapick/management/peers.py
+++ b/papayapick/management/peers.py
@@ -31,10 +31,10 @@
     """
 
     __slots__ = (
-        "_request_executor",
         "_clients",
         "_entries",
         "_reader_executor",
+        "_request_executor",
         "_timeout_seconds",
     )
 
--- a/papayapick/observability/events.py
+++ b/papayapick/observability/events.py
@@ -178,7 +178,7 @@
     dropped : _DropCounter
     """
 
-    __slots__ = ("_formatter", "_dropped", "_stopping", "_stream", "_queue")
+    __slots__ = ("_dropped", "_formatter", "_queue", "_stopping", "_stream")
 
     def __init__(self, record_queue, stream, formatter, dropped):
         self._queue = record_queue
@@ -239,7 +239,7 @@
         Called with the count of dropped lines of an event when it is reported.
     """
 
-    __slots__ = ("_handler", "_dropped", "_on_dropped_lines", "_thread", "_writer")
+    __slots__ = ("_dropped", "_handler", "_on_dropped_lines", "_thread", "_writer")
 
     def __init__(self, clock, level, static_fields, stream=None, on_dropped_lines=None):
         self._on_dropped_lines = on_dropped_lines or (lambda count: None)
--- a/papayapick/observability/timelines.py
+++ b/papayapick/observability/timelines.py
@@ -68,7 +68,7 @@
         None if no line names it.
     """
 
-    __slots__ = ("_lines", "request_lines", "pool", "request_id")
+    __slots__ = ("_lines", "pool", "request_id", "request_lines")
 
     def __init__(self, request_id, lines):
         self.request_id = request_id
--- a/papayapick/observability/traces.py
+++ b/papayapick/observability/traces.py
@@ -64,7 +64,7 @@
     context : opentelemetry.context.Context or None
     """
 
-    __slots__ = ("_started_at", "_error", "_manager", "_name", "_span", "_tracing")
+    __slots__ = ("_error", "_manager", "_name", "_span", "_started_at", "_tracing")
 
     def __init__(self, tracing, name, context):
         self._tracing = tracing
--- a/papayapick/observability/vacancies.py
+++ b/papayapick/observability/vacancies.py
@@ -48,7 +48,7 @@
 class _VacancyReader:
     """Find the vacancies of one pool from its lines, in order."""
 
-    __slots__ = ("_begin", "_epoch", "_pool", "_last_owner_line_at", "vacancies")
+    __slots__ = ("_begin", "_epoch", "_last_owner_line_at", "_pool", "vacancies")
 
     def __init__(self, pool):
         self.vacancies = []
--- a/papayapick/observability/waits.py
+++ b/papayapick/observability/waits.py
@@ -44,9 +44,9 @@
     __slots__ = (
         "_accepted_at",
         "_ended_at",
+        "_first_owned_at",
         "_not_waiting_before",
         "_open_waits",
-        "_first_owned_at",
         "_queues",
         "reversals",
         "waits",
