--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Pass over the tests that KNOWN-RED.txt lists, and print them."""
+"""Deselect the tests that KNOWN-RED.txt lists, and print them in the summary."""
 
 from pathlib import Path
 
@@ -7,21 +7,21 @@
 from demo.cells import Cell
 
 KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 
 def known_red():
-    """Return the listed lines by the test's node id."""
+    """Return the entries of KNOWN-RED.txt by node id of the test."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
     listed = [line for line in lines if line.strip() and not line.startswith("#")]
-    assert len(listed) <= MOST_KNOWN_RED, "KNOWN-RED.txt holds too many lines"
+    assert len(listed) <= MAX_KNOWN_RED, "KNOWN-RED.txt has too many entries"
     return {line.split("|")[0].strip(): line for line in listed}
 
 
 def is_known_red(nodeid, listed):
-    """Return whether a test is listed, by its own id or that of all its cases."""
+    """Return whether a test or the parametrized test it belongs to is listed."""
     return nodeid in listed or nodeid.partition("[")[0] in listed
 
 
@@ -40,6 +40,6 @@
 
 @pytest.fixture(scope="session")
 def footfall():
-    """A whole cell that tests share; whoever breaks it starts their own."""
+    """A running cell shared by tests; tests that break a cell start their own."""
     with Cell("footfall") as cell:
         yield cell
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's requests get the right answers on both deployments."""
+"""The demo's requests get the expected answers on both deployments."""
 
 import pytest
 
@@ -7,6 +7,6 @@
 
 
 @pytest.mark.parametrize("deployment", ["footfall", "wayleave"])
-def test_demo_finds_nothing_wrong(deployment):
+def test_demo_reports_no_error(deployment):
     with Cell(deployment) as cell:
         assert Demo(cell).run() == 0
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Modules stay small, and import each other in one direction."""
+"""Modules stay below the size limit and have no import cycles."""
 
 import ast
 
@@ -7,7 +7,7 @@
 from demo.cells import ROOT
 
 PACKAGE = ROOT / "papayapick"
-MOST_LINES = 350
+MAX_LINES = 350
 
 
 def _name(path):
@@ -31,20 +31,20 @@
     return found & MODULES.keys()
 
 
-def circle_in(graph):
-    """Return modules that import each other in a circle, or an empty list."""
-    done, way = set(), []
+def find_cycle(graph):
+    """Return the modules of an import cycle, or an empty list."""
+    done, path = set(), []
 
     def visit(name):
-        if name in way:
-            return way[way.index(name) :]
+        if name in path:
+            return path[path.index(name) :]
         if name in done:
             return []
-        way.append(name)
+        path.append(name)
         for other in sorted(graph[name]):
             if found := visit(other):
                 return found
-        way.pop()
+        path.pop()
         done.add(name)
         return []
 
@@ -54,16 +54,16 @@
     return []
 
 
-def test_no_circle_of_imports():
-    assert circle_in({name: _imported(path) for name, path in MODULES.items()}) == []
+def test_no_import_cycle():
+    assert find_cycle({name: _imported(path) for name, path in MODULES.items()}) == []
 
 
-def test_a_circle_is_found():
+def test_import_cycle_is_found():
     graph = {"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": set()}
-    assert circle_in(graph) == ["b", "c"]
+    assert find_cycle(graph) == ["b", "c"]
 
 
 @pytest.mark.parametrize("name", MODULES)
-def test_module_is_not_too_large(name):
+def test_module_is_below_the_size_limit(name):
     lines = len(MODULES[name].read_text().splitlines())
-    assert lines <= MOST_LINES
+    assert lines <= MAX_LINES
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are passed over are just those that KNOWN-RED.txt lists."""
+"""Exactly the tests that KNOWN-RED.txt lists are deselected."""
 
 import pytest
 
@@ -30,11 +30,11 @@
         ("tests/b.py::test_one", False),
     ],
 )
-def test_listed_test_is_passed_over_with_all_its_cases(listed, nodeid, is_red):
+def test_listed_test_is_deselected_with_all_its_cases(listed, nodeid, is_red):
     assert conftest.is_known_red(nodeid, listed) == is_red
 
 
-def test_more_lines_than_can_be_mended_soon_are_refused(listed):
+def test_more_entries_than_the_limit_are_rejected(listed):
     lines = "".join(f"tests/a.py::test_{n} | x\n" for n in range(4))
     conftest.KNOWN_RED.write_text(lines)
     with pytest.raises(AssertionError, match="too many"):
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -1,4 +1,4 @@
-"""A server that is closed leaves the other connections of its process alone."""
+"""Closing a server does not affect other connections of the process."""
 
 import http.client
 import os
@@ -13,18 +13,18 @@
 
 
 @pytest.mark.parametrize("listeners", [1, 2])
-def test_answer_after_the_close_writes_into_no_other_connection(listeners):
-    """An operator's command ends with "the table did not answer", once in a while.
+def test_answer_after_close_does_not_write_to_another_connection(listeners):
+    """An operator's command fails occasionally with "the table did not answer".
 
-    A server in the same process had been closed while it still worked on a request.
-    Its thread then woke the server's loop through the number of a pipe that was
-    closed, and that number was the command's new connection: the table got a byte
-    "x" in front of the request and refused it.
+    A server in the same process was closed while it handled a request. Its thread
+    then woke the server's loop through the descriptor number of the closed pipe,
+    which was now the command's new connection: the table got a byte "x" in front of
+    the request and rejected it.
     """
-    is_asked, may_answer, has_answered = (threading.Event() for _ in range(3))
+    is_requested, may_answer, has_answered = (threading.Event() for _ in range(3))
 
     def application(environ, start_response):
-        is_asked.set()
+        is_requested.set()
         may_answer.wait(10)
         start_response("200 OK", [("Content-Length", "2")])
         has_answered.set()
@@ -34,9 +34,9 @@
     server = create_listener(application, listen=listen, threads=1)
     loop = threading.Thread(target=server.run)
     loop.start()
-    caller = threading.Thread(target=_ask, args=(_port(server),))
+    caller = threading.Thread(target=_send_request, args=(_port(server),))
     caller.start()
-    assert is_asked.wait(10)
+    assert is_requested.wait(10)
     _close_listeners(server)
     pairs = [socket.socketpair() for _ in range(PAIRS)]
     may_answer.set()
@@ -49,99 +49,100 @@
 
 
 def _port(server):
-    found = getattr(server, "effective_port", None)
-    return found or server.effective_listen[0][1]
+    port = getattr(server, "effective_port", None)
+    return port or server.effective_listen[0][1]
 
 
 def _close_listeners(server):
-    """Close what listens, as the server does, without waiting for its threads."""
-    for one in list((getattr(server, "map", None) or {0: server}).values()):
-        if hasattr(one, "trigger"):
-            one.close()
+    """Close the listeners as the server does, without waiting for its threads."""
+    for channel in list((getattr(server, "map", None) or {0: server}).values()):
+        if hasattr(channel, "trigger"):
+            channel.close()
 
 
-def _ask(port):
+def _send_request(port):
     connection = http.client.HTTPConnection("127.0.0.1", port)
     try:
         connection.request("GET", "/")
         connection.getresponse().read()
     except (OSError, http.client.HTTPException):
-        # The server was closed under it; what matters is what others get.
+        # The server was closed during the request; only what other connections
+        # receive is checked.
         return
     finally:
         connection.close()
 
 
 def _received(pairs):
-    found = []
+    received = []
     for pair in pairs:
-        for one in pair:
-            one.setblocking(False)
+        for end in pair:
+            end.setblocking(False)
             try:
-                found.append(one.recv(100))
+                received.append(end.recv(100))
             except BlockingIOError:
                 continue
             finally:
-                one.setblocking(True)
+                end.setblocking(True)
     for pair in pairs:
-        for one in pair:
-            one.close()
-    return found
+        for end in pair:
+            end.close()
+    return received
 
 
-def test_loop_outlives_a_close_from_another_thread():
-    """Answers that wait to be written are lost as a process ends, once in a while.
+def test_loop_survives_a_close_from_another_thread():
+    """Pending answers are lost occasionally when a process shuts down.
 
-    The server's loop had gathered what to wait for when another thread closed the
-    listener. It then waits for a socket that is closed, and ends with "bad file
-    descriptor" before it has written what callers are still owed.
+    The server's loop had collected the sockets to wait for when another thread closed
+    the listener. The loop then waited for a closed socket and ended with "bad file
+    descriptor" before it had written the pending answers.
     """
     server = create_listener(lambda *args: [], listen="127.0.0.1:0", threads=1)
-    is_gathering, may_go_on = threading.Event(), threading.Event()
+    is_collecting, may_continue = threading.Event(), threading.Event()
     readable = server.readable
-    ended_with = []
+    loop_errors = []
 
-    def gather():
-        found = readable()
-        is_gathering.set()
-        may_go_on.wait(10)
-        return found
+    def paused_readable():
+        is_readable = readable()
+        is_collecting.set()
+        may_continue.wait(10)
+        return is_readable
 
     def run():
         try:
             server.run()
         except OSError as error:
-            ended_with.append(error)
+            loop_errors.append(error)
 
-    server.readable = gather
+    server.readable = paused_readable
     loop = threading.Thread(target=run)
     loop.start()
-    assert is_gathering.wait(10)
+    assert is_collecting.wait(10)
     closer = threading.Thread(target=server.close)
     closer.start()
-    # More than enough for a close that waits for nobody.
+    # Enough time for a close that does not wait for the loop.
     closer.join(0.3)
-    may_go_on.set()
+    may_continue.set()
     loop.join(10)
     closer.join(10)
     assert not (loop.is_alive() or closer.is_alive())
-    assert ended_with == []
+    assert loop_errors == []
 
 
-def test_server_with_a_thousand_descriptors_goes_on_serving():
-    """A host answers nobody any more, and nothing in its log tells why.
+def test_server_handles_descriptors_over_1023():
+    """A host stops answering requests, without a log message.
 
-    It had so many connections open, to workers, hosts and callers, that the next one
-    got a number over 1023. The server's loop can't wait for such a number with select:
-    it ended with a ValueError that nobody looked at.
+    It had so many connections to workers, hosts and callers that the next one got a
+    descriptor over 1023. select can't wait for such a descriptor, so the server's loop
+    ended with a ValueError that was not handled.
     """
-    answer = [("Content-Length", "2")]
+    headers = [("Content-Length", "2")]
 
     def application(environ, start_response):
-        start_response("200 OK", answer)
+        start_response("200 OK", headers)
         return [b"{}"]
 
-    held = [os.open(os.devnull, os.O_RDONLY) for _ in range(1100)]
+    descriptors = [os.open(os.devnull, os.O_RDONLY) for _ in range(1100)]
     try:
         server = create_listener(application, listen="127.0.0.1:0", threads=1)
         loop = threading.Thread(target=server.run)
@@ -155,5 +156,5 @@
         loop.join(10)
         assert not loop.is_alive()
     finally:
-        for descriptor in held:
+        for descriptor in descriptors:
             os.close(descriptor)
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,4 +1,4 @@
-"""What fails where nobody can catch it fails the test that runs by then."""
+"""An uncaught error in a thread or a finalizer fails the running test."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 pytest_plugins = "pytester"
 
-DIES_IN_THE_TEST = """
+FAILS_IN_THE_TEST = """
 import threading
 
 def test_thread():
@@ -14,7 +14,7 @@
     thread.start()
     thread.join()
 """
-DIES_IN_THE_TEARDOWN = """
+FAILS_IN_THE_TEARDOWN = """
 import threading
 import pytest
 
@@ -29,7 +29,7 @@
     pass
 """
 
-BARE_THREAD = """
+LOW_LEVEL_THREAD = """
 import _thread, sys, threading
 
 def test_thread(monkeypatch):
@@ -56,38 +56,38 @@
 @pytest.mark.parametrize(
     ("source", "outcomes"),
     [
-        (DIES_IN_THE_TEST, {"failed": 1}),
-        (DIES_IN_THE_TEARDOWN, {"passed": 1, "errors": 1}),
+        (FAILS_IN_THE_TEST, {"failed": 1}),
+        (FAILS_IN_THE_TEARDOWN, {"passed": 1, "errors": 1}),
     ],
     ids=["test", "teardown"],
 )
-def test_thread_that_dies_fails_its_test(pytester, source, outcomes):
-    """All tests pass while a thread of a stand-in dies in one of them.
+def test_uncaught_error_in_a_thread_fails_its_test(pytester, source, outcomes):
+    """All tests pass although a thread of a test double ended with an exception.
 
-    Nobody waits for the thread, so its exception goes nowhere; pytest only warns, and
-    what the thread would have done is missing, in this test or in a later one.
+    The exception is not raised in any other thread and pytest only warns, so this
+    test or a later one runs without what the thread should have done.
     """
-    ran = _run(pytester, source)
-    ran.assert_outcomes(**outcomes)
-    ran.stdout.fnmatch_lines(["*PytestUnhandledThreadExceptionWarning*"])
+    result = _run(pytester, source)
+    result.assert_outcomes(**outcomes)
+    result.stdout.fnmatch_lines(["*PytestUnhandledThreadExceptionWarning*"])
 
 
 @pytest.mark.parametrize(
-    "source", [BARE_THREAD, FINALIZER], ids=["thread", "finalizer"]
+    "source", [LOW_LEVEL_THREAD, FINALIZER], ids=["thread", "finalizer"]
 )
-def test_exception_that_nobody_can_catch_fails_its_test(pytester, source):
-    """All tests pass while something dies where there is no caller.
+def test_unraisable_exception_fails_its_test(pytester, source):
+    """All tests pass although an exception was raised outside of any call.
 
-    It is raised by an object's finalizer, or by a thread that was started without
-    the class Thread; the interpreter writes a line and goes on.
+    An object's finalizer raised it, or a thread that was not started by the class
+    Thread; the interpreter only prints it and continues.
     """
-    ran = _run(pytester, source)
-    ran.assert_outcomes(failed=1)
-    ran.stdout.fnmatch_lines(["*PytestUnraisableExceptionWarning*"])
+    result = _run(pytester, source)
+    result.assert_outcomes(failed=1)
+    result.stdout.fnmatch_lines(["*PytestUnraisableExceptionWarning*"])
 
 
 def _run(pytester, source):
-    """Run the tests of a source under the settings of this project."""
+    """Run the tests of a source with the pytest settings of this project."""
     path = pytester.makepyfile(source)
     return pytester.runpytest_inprocess(
         "-c", ROOT / "pyproject.toml", "--rootdir", pytester.path, path
