--- a/papayapick/bundle/signing.py
+++ b/papayapick/bundle/signing.py
@@ -136,7 +136,7 @@
 
     @classmethod
     def from_text(cls, text, required):
-        """Read operators' keys from JSON text."""
+        """Read operators' keys from JSON text; raise BundleInvalid."""
         try:
             keys = {
                 name: Ed25519PublicKey.from_public_bytes(base64.b64decode(encoded))
--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -78,8 +78,8 @@
 
     __slots__ = (
         "_cell",
-        "_confirmed_pauses",
         "_confirmations",
+        "_confirmed_pauses",
         "_current",
         "_envelopes",
         "_head_version",
--- a/papayapick/conf/settings.py
+++ b/papayapick/conf/settings.py
@@ -9,7 +9,7 @@
 
 
 class Settings:
-    """Hold the checked settings of one program.
+    """Hold the validated settings of one program.
 
     Parameters
     ----------
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -47,7 +47,7 @@
         "_handler",
         "_head_gate",
         "_heartbeat_shards",
-        "_stopping",
+        "_stop_event",
         "cell_key",
         "clock",
         "executor",
@@ -78,7 +78,7 @@
         self.is_draining = False
         self._handler = handler
         self._heartbeat_shards = heartbeat_shards
-        self._stopping = threading.Event()
+        self._stop_event = threading.Event()
         self.pauses = PauseGuard(self.clock, settings.pause_seconds)
         self.platform_pool = HttpPool(settings.platform_timeout_seconds)
         self.table = Table(
@@ -99,7 +99,7 @@
     @property
     def stop_event(self):
         """Return the event that ends every loop of the process."""
-        return self._stopping
+        return self._stop_event
 
     def start(self):
         """Start the peer server and the periodic loops."""
@@ -120,7 +120,7 @@
 
     def close(self):
         """Stop every loop, connection and waiting task."""
-        self._stopping.set()
+        self._stop_event.set()
         self.peers.close()
         self.peer_server.close()
         self.platform_pool.close()
@@ -230,7 +230,7 @@
             _LOG.debug("table unavailable; bundles come from peers only")
 
     def _loop(self, step, seconds):
-        while not self._stopping.is_set():
+        while not self._stop_event.is_set():
             try:
                 step()
             except PlatformError as error:
@@ -239,10 +239,10 @@
                     extra={"error": str(error)},
                 )
             except Exception:
-                # An error in one step must not end the loop: the following steps
-                # renew state that other processes depend on.
+                # A failed step must not end the loop, on which other components
+                # depend.
                 _LOG.exception("unexpected error in a periodic step")
-            self.clock.wait(self._stopping, seconds)
+            self.clock.wait(self._stop_event, seconds)
 
     def _count_table_operation(self, operation):
         self.metrics.table_operations.labels(operation).inc()
