--- a/tests/membership/test_announce.py
+++ b/tests/membership/test_announce.py
@@ -72,7 +72,7 @@
     def __init__(self):
         self.looks = 0
         self.newest = 0
-        self.watcher = SimpleNamespace(sequence=4, hear=self.put_in_force)
+        self.watcher = SimpleNamespace(sequence=4, handle_peer_head=self.put_in_force)
         self.peers = SimpleNamespace(note_head=self.note_head)
         self.executor = SimpleNamespace(submit=lambda look: look())
 
@@ -84,7 +84,7 @@
         self.newest = max(self.newest, version)
         return is_newer
 
-    def _look_at_head(self):
+    def _poll_head(self):
         self.looks += 1
 
 
@@ -109,5 +109,5 @@
         beat = Heartbeat(
             host="a", bundle_sequence=sequence, bundle_digest="d", head_version=version
         )
-        Process._hear_asker(process, beat)
+        Process._handle_peer_heartbeat(process, beat)
     assert process.looks == looks
