--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -34,7 +34,7 @@
     for _ in range(steps):
         load.submit_job(tasks=TASKS, estimate=1.0, queue=QUEUE)
     names = list(load.workers)
-    for number, step in enumerate(owner.book.waiting_steps()):
+    for number, step in enumerate(owner.job_registry.waiting_steps()):
         if number % 2:
             _advise(owner, step, names[: workers // 2], load.now)
         elif number % 4 == 0:
@@ -42,7 +42,7 @@
     owner.decisions.place(load.now)
     return {
         "workers": workers,
-        "waiting": len(owner.book.waiting_steps()),
+        "waiting": len(owner.job_registry.waiting_steps()),
         "round_ms": _milliseconds(owner.decisions.place, load.now),
         "tick_ms": _milliseconds(owner.tick, load.now),
         "stops_ms": _milliseconds(owner.decisions.preempt, load.now + WAITED_SECONDS),
--- a/papayapick/pool/advice_manager.py
+++ b/papayapick/pool/advice_manager.py
@@ -139,7 +139,7 @@
 
     def prefetch(self, now):
         """Request advice on steps whose preceding steps are about to end."""
-        for job in self._owner.book.live_jobs():
+        for job in self._owner.job_registry.live_jobs():
             if job.queue.advice is None:
                 continue
             for steps in job.occurrences.values():
@@ -177,7 +177,7 @@
         return remaining
 
     def _send_request(self, key, workers, expected):
-        step = self._owner.book.step_of(key)
+        step = self._owner.job_registry.step_of(key)
         future = self._owner.host.advice.ask(
             key,
             workers,
@@ -193,7 +193,7 @@
     def _handle_answer(self, key, workers, done):
         error = done.exception()
         with self._owner.lock:
-            step = self._owner.book.step_of(key)
+            step = self._owner.job_registry.step_of(key)
             if isinstance(error, AdviceNotNeeded):
                 self._cache.note_failure(key, workers)
             elif error is not None:
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -55,7 +55,7 @@
     def __init__(self, owner, steps, now):
         self.now = now
         self.advice_budget = AdviceBudget(owner.rooms)
-        self.holds = Holds(owner.rooms, owner.book.step_of, now)
+        self.holds = Holds(owner.rooms, owner.job_registry.step_of, now)
         # At the start of the round: an upper bound for the rest of it.
         self._most_free = owner.rooms.max_free()
         least = _least_demand(steps)
@@ -122,7 +122,7 @@
     def place(self, now):
         """Place waiting tasks, the most urgent first, and queue their starts."""
         owner = self._owner
-        steps = owner.book.waiting_steps()
+        steps = owner.job_registry.waiting_steps()
         current = _PlacementRound(owner, steps, now)
         for step in order_steps(steps, now):
             allowed = None
@@ -237,7 +237,7 @@
             step.job.has_placed_task = True
             FIRST_START_SECONDS.observe(now - step.job.arrived_at)
             self.backlog.note_first_start(step.job.document.queue, now)
-        run = self._owner.book.begin_run(step, index, worker, now, attempt)
+        run = self._owner.job_registry.begin_run(step, index, worker, now, attempt)
         room = self._owner.rooms.get(worker)
         room.reserve(run)
         if room.hold is not None and room.hold.step_key != step.key:
@@ -246,7 +246,7 @@
 
     def start_copies(self, now):
         """Start second copies of stragglers on other workers with capacity."""
-        for job in self._owner.book.live_jobs():
+        for job in self._owner.job_registry.live_jobs():
             for step in job.steps():
                 for index in stragglers(step, now):
                     self._start_copy(step, index, now)
@@ -276,7 +276,9 @@
     def preempt(self, now):
         """Stop tasks of lower priority for the most urgent step without capacity."""
         overdue = [
-            step for step in self._owner.book.waiting_steps() if may_preempt(step, now)
+            step
+            for step in self._owner.job_registry.waiting_steps()
+            if may_preempt(step, now)
         ]
         if not overdue:
             return
@@ -300,7 +302,7 @@
             return
 
     def _victim_priority(self, run):
-        step = self._owner.book.step_of(run.key)
+        step = self._owner.job_registry.step_of(run.key)
         if step is None or step.job.is_final:
             return None
         found = step.step
@@ -331,8 +333,8 @@
             if self._unsent:
                 return True
             jobs = (
-                self._owner.book.get(identifier)
-                for identifier in self._owner.book.changed
+                self._owner.job_registry.get(identifier)
+                for identifier in self._owner.job_registry.changed
             )
             return any(job is not None and job.is_final for job in jobs)
 
--- a/papayapick/pool/journal.py
+++ b/papayapick/pool/journal.py
@@ -132,7 +132,7 @@
             starts = owner.decisions.take_unsent({job.identifier for job in changed})
             # The jobs of some ends may be in a later batch; these ends must not be
             # acknowledged yet.
-            is_all = not owner.book.changed
+            is_all = not owner.job_registry.changed
             ends = [
                 (link, link.processed, link.born)
                 for link in owner.links()
@@ -142,7 +142,7 @@
             return False
         if writes and not self._transact(writes):
             with owner.lock:
-                owner.book.changed.update(job.identifier for job in changed)
+                owner.job_registry.changed.update(job.identifier for job in changed)
                 owner.decisions.requeue_unsent(starts)
                 owner.roster.requeue(roster)
             owner.pause(_RETRY_SECONDS)
@@ -155,7 +155,7 @@
                 was_durable = job.durable_status == status
                 job.durable_status = status
                 if status in JobStatus.FINAL:
-                    owner.book.status_changes.add(job.identifier)
+                    owner.job_registry.status_changes.add(job.identifier)
                     if not was_durable:
                         self._log_job_end(job, status)
             for link, number, born in ends:
@@ -179,11 +179,11 @@
         )
 
     def _take_changed(self):
-        book = self._owner.book
+        job_registry = self._owner.job_registry
         taken = []
-        for identifier in list(book.changed)[:_ROWS_PER_COMMIT]:
-            book.changed.discard(identifier)
-            job = book.get(identifier)
+        for identifier in list(job_registry.changed)[:_ROWS_PER_COMMIT]:
+            job_registry.changed.discard(identifier)
+            job = job_registry.get(identifier)
             if job is not None:
                 taken.append(job)
         return taken
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -42,7 +42,7 @@
                 self._run_round(begin)
                 took = owner.now() - begin
             owner.host.broadcast(owner)
-            if owner.book.changed:
+            if owner.job_registry.changed:
                 owner.journal.wake()
             self._pause_after_round(took)
 
@@ -68,7 +68,7 @@
     def tick(self, now):
         """Run all periodic actions that are due; the caller holds the lock."""
         owner = self._owner
-        owner.book.open_due(owner.host.clock.time(), now)
+        owner.job_registry.open_due(owner.host.clock.time(), now)
         owner.reconciliation.release_safe_tasks(now)
         for link in owner.links():
             self._tick_link(link, now)
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -147,7 +147,7 @@
             now = self._owner.now()
             if outcome == StartOutcome.STARTED:
                 run.start_confirmed_at = now
-                self._owner.book.note_started(run)
+                self._owner.job_registry.note_started(run)
             elif outcome == StartOutcome.UNKNOWN:
                 if run.phase == RunPhase.ORDERED:
                     run.phase = RunPhase.UNSURE
@@ -174,10 +174,10 @@
         if outcome == StartOutcome.TICKET_INVALID:
             self._owner.advice_manager.drop_ticket(run)
         elif outcome in (StartOutcome.NO_ROOM, StartOutcome.REFUSED):
-            step = self._owner.book.step_of(run.key)
+            step = self._owner.job_registry.step_of(run.key)
             if step is not None:
                 step.tasks[run.key.index].avoid.add(run.worker)
-        self._owner.book.drop_run(run, now)
+        self._owner.job_registry.drop_run(run, now)
 
     def note_stop_confirmed(self, run):
         """Record that a worker has confirmed a stop."""
@@ -185,9 +185,9 @@
             run.stop_confirmed = self._owner.now()
 
     def stop_unneeded(self):
-        """Send the stops that the job book has requested."""
+        """Send the stops that the job registry has requested."""
         now = self._owner.now()
-        runs, self._owner.book.to_stop = self._owner.book.to_stop, []
+        runs, self._owner.job_registry.to_stop = self._owner.job_registry.to_stop, []
         for run in runs:
             self.stop_once(run, now)
 
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -65,7 +65,8 @@
     has_read_state : bool
         Whether jobs, progress and workers have been read from the store.
     lock : threading.RLock
-        Must be held to read or change ``book``, ``rooms`` or ``links_by_worker``.
+        Must be held to read or change ``job_registry``, ``rooms`` or
+        ``links_by_worker``.
     """
 
     __slots__ = (
@@ -75,11 +76,11 @@
         "_wakeup",
         "_was_announced",
         "advice_manager",
-        "book",
         "decisions",
         "has_read_state",
         "host",
         "is_lost",
+        "job_registry",
         "journal",
         "links_by_worker",
         "lock",
@@ -103,7 +104,7 @@
         self.host = host
         self.row = row
         self.lock = threading.RLock()
-        self.book = JobRegistry()
+        self.job_registry = JobRegistry()
         self.rooms = Rooms()
         self.roster = WorkerRoster(PROGRESS_TABLE, row.pool)
         self.links_by_worker = {}
@@ -182,7 +183,7 @@
     def refresh_queues(self):
         """Apply the queue policies of a new configuration to all jobs."""
         with self.lock:
-            for job in self.book.jobs():
+            for job in self.job_registry.jobs():
                 job.queue = self.host.queue_of(job.document)
 
     def note_lost(self):
@@ -221,7 +222,7 @@
         POOL_TAKEN.write(
             pool=self.pool,
             epoch=self.row.epoch,
-            jobs=len(self.book.jobs()),
+            jobs=len(self.job_registry.jobs()),
             workers=len(self.links_by_worker),
             is_journal_exact=self.reconciliation.is_journal_exact,
             seconds=round(self.now() - self.taken_at, 3),
--- a/papayapick/pool/report_handler.py
+++ b/papayapick/pool/report_handler.py
@@ -19,7 +19,7 @@
 
 
 class WorkerReportHandler:
-    """Listen to the links to workers and keep the owner's book and rooms up to date.
+    """Listen to the links to workers and keep the owner's jobs and rooms up to date.
 
     Parameters
     ----------
@@ -89,7 +89,7 @@
             self._owner.orders.stop_unneeded()
             has_ends = link.processed > link.acknowledged
         self._owner.wake()
-        if has_ends or self._owner.book.changed:
+        if has_ends or self._owner.job_registry.changed:
             self._owner.journal.wake()
 
     @staticmethod
@@ -148,8 +148,8 @@
 
     def _apply_end(self, link, room, end, now):
         run = room.runs.get((end.key, end.attempt))
-        step = self._owner.book.step_of(end.key)
-        self._owner.book.end_run(
+        step = self._owner.job_registry.step_of(end.key)
+        self._owner.job_registry.end_run(
             end.key, end.attempt, end.outcome, end.checkpoint, link.worker, now
         )
         if run is not None:
@@ -180,17 +180,17 @@
         for found in report.runs:
             run = room.runs.get((found.key, found.attempt))
             if run is None:
-                run = self._owner.book.adopt_run(found, link.worker, now)
+                run = self._owner.job_registry.adopt_run(found, link.worker, now)
                 room.reserve(run)
                 RUN_FOUND.write(
                     **run_fields(run),
-                    is_needed=run not in self._owner.book.to_stop,
+                    is_needed=run not in self._owner.job_registry.to_stop,
                     percent=found.percent,
                 )
             if run.phase in (RunPhase.ORDERED, RunPhase.UNSURE):
                 if run.phase == RunPhase.UNSURE:
                     START_FOUND.write(**run_fields(run))
-                self._owner.book.note_started(run)
+                self._owner.job_registry.note_started(run)
             run.was_listed, run.was_listed_again = True, run.was_listed
             if run.percent != found.percent:
                 run.progressed_at = now
@@ -198,7 +198,7 @@
             run.measurement = found.measurement
             if found.checkpoint != run.checkpoint:
                 run.checkpoint = found.checkpoint
-                self._owner.book.note_checkpoint(run)
+                self._owner.job_registry.note_checkpoint(run)
 
     def _drop_vanished(self, room, report, requested_at, now):
         """Treat runs as lapsed that a worker confirmed earlier and no longer lists.
@@ -213,7 +213,7 @@
             if run.ran_before(requested_at) and run.name not in listed:
                 RUN_VANISHED.write(**run_fields(run))
                 room.release(run)
-                self._owner.book.end_run(
+                self._owner.job_registry.end_run(
                     run.key, run.attempt, EndOutcome.LAPSED, "", run.worker, now
                 )
 
@@ -231,7 +231,7 @@
             if confirmed is None or confirmed > requested_at or run.name in listed:
                 continue
             room.release(run)
-            self._owner.book.drop_run(run, now)
+            self._owner.job_registry.drop_run(run, now)
 
     def mark_started_runs_lost(self, link):
         """Mark the runs that had started on a worker as lost, since it is gone.
@@ -261,7 +261,7 @@
             )
         for run in lost:
             room.release(run)
-            self._owner.book.end_run(
+            self._owner.job_registry.end_run(
                 run.key, run.attempt, EndOutcome.LAPSED, "", link.worker, now
             )
         self._owner.orders.stop_unneeded()
--- a/papayapick/pool/retention.py
+++ b/papayapick/pool/retention.py
@@ -29,7 +29,7 @@
     with owner.lock:
         expired = [
             job.identifier
-            for job in owner.book.jobs()
+            for job in owner.job_registry.jobs()
             if job.durable_status in JobStatus.FINAL
             and now - job.finished_at > retention
         ][:_JOBS_PER_CALL]
@@ -51,5 +51,5 @@
         return
     with owner.lock:
         for identifier in expired:
-            owner.book.remove(identifier)
+            owner.job_registry.remove(identifier)
             owner.advice_manager.forget(identifier)
--- a/papayapick/pool/run_monitor.py
+++ b/papayapick/pool/run_monitor.py
@@ -43,7 +43,7 @@
         """
         for room in self._owner.rooms:
             room.expire_suspicion(now)
-        for job in self._owner.book.live_jobs():
+        for job in self._owner.job_registry.live_jobs():
             for step in job.steps():
                 for run in stalled_runs(step):
                     self._replace(step, run, now)
--- a/papayapick/pool/status_feed.py
+++ b/papayapick/pool/status_feed.py
@@ -13,7 +13,7 @@
 
 
 class StatusFeed:
-    """Read statuses and backlogs from an owner's book for hosts that answer callers.
+    """Read statuses and backlogs from an owner's jobs for hosts that answer callers.
 
     Parameters
     ----------
@@ -45,11 +45,11 @@
             By job id.
         """
         with self._owner.lock:
-            changed, self._owner.book.status_changes = (
-                self._owner.book.status_changes,
+            changed, self._owner.job_registry.status_changes = (
+                self._owner.job_registry.status_changes,
                 set(),
             )
-            jobs = [self._owner.book.get(identifier) for identifier in changed]
+            jobs = [self._owner.job_registry.get(identifier) for identifier in changed]
             return {
                 job.identifier: _visible_status(job) for job in jobs if job is not None
             }
@@ -58,7 +58,8 @@
         """Return the visible status of each job, by job id."""
         with self._owner.lock:
             return {
-                job.identifier: _visible_status(job) for job in self._owner.book.jobs()
+                job.identifier: _visible_status(job)
+                for job in self._owner.job_registry.jobs()
             }
 
     def backlogs(self):
@@ -81,7 +82,7 @@
             return self._backlogs
 
     def _compute_known_at(self):
-        """Return the time as of which the book's waiting jobs are complete, or None.
+        """Return the time as of which all waiting jobs are known, or None.
 
         An owner whose feed of jobs gets no answers counts too few jobs. An owner that
         was replaced without knowing it counts jobs that its successor has started. An
@@ -99,7 +100,7 @@
     def _count_backlogs(self, now):
         counts, ready = collections.Counter(), collections.Counter()
         useful = collections.Counter()
-        for job in self._owner.book.live_jobs():
+        for job in self._owner.job_registry.live_jobs():
             if job.status == JobStatus.WAITING:
                 queue = job.document.queue
                 counts[queue] += 1
--- a/papayapick/pool/store_sync.py
+++ b/papayapick/pool/store_sync.py
@@ -56,7 +56,7 @@
 
 
 class StoreSync:
-    """Copy jobs and workers from the store into an owner's book and rooms.
+    """Copy jobs and workers from the store into an owner's job registry and rooms.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
 
     @property
     def complete_at(self):
-        """Return the monotonic time as of which the book has all accepted jobs."""
+        """Return the monotonic time as of which the registry has all accepted jobs."""
         return self._complete_at
 
     def load(self):
@@ -152,22 +152,22 @@
                 continue
             if row.key.endswith(CANCEL_SUFFIX):
                 cancelled.append(row.key.removesuffix(CANCEL_SUFFIX))
-            elif row.key not in self._owner.book:
+            elif row.key not in self._owner.job_registry:
                 self._add_job(row, records.get(row.key), now, newest)
         for identifier in cancelled:
-            self._owner.book.cancel(identifier, now)
+            self._owner.job_registry.cancel(identifier, now)
 
     def _add_job(self, row, record, now, newest):
         try:
             document = _document(row.value, record)
             queue = self._owner.host.queue_of(document)
             age = 0.0 if newest is None else newest - document.accepted_at
-            job = self._owner.book.add(document, queue, now, record, age)
+            job = self._owner.job_registry.add(document, queue, now, record, age)
         except (KeyError, TypeError, ValueError, IndexError):
             # One unreadable record must not stop all other jobs, on one host after
             # another. This job stays in the store until an operator repairs it.
             RECORD_REFUSED.write_failure(request_id=row.key)
-            self._owner.book.remove(row.key)
+            self._owner.job_registry.remove(row.key)
             return
         if not job.is_final:
             self._log_job_taken(job)
--- a/papayapick/pool/upkeep.py
+++ b/papayapick/pool/upkeep.py
@@ -241,7 +241,9 @@
             is_limit_reached = (
                 now - open_wave.draining_since.get(worker, now) >= drain_limit
             )
-            to_move = runs_to_stop(room, self._owner.book.step_of, is_limit_reached)
+            to_move = runs_to_stop(
+                room, self._owner.job_registry.step_of, is_limit_reached
+            )
             for run in to_move:
                 self._owner.orders.stop_once(run, now)
             return not room.runs
--- a/tests/entry/test_removed_queue.py
+++ b/tests/entry/test_removed_queue.py
@@ -36,15 +36,15 @@
 
 def test_job_of_an_unknown_queue_does_not_fail_with_its_first_failed_run(host, stored):
     """Guards against a final failure of a job that has two more attempts."""
-    book = JobRegistry()
-    book.add(stored, host.queue_of(stored), 0.0)
+    job_registry = JobRegistry()
+    job_registry.add(stored, host.queue_of(stored), 0.0)
     for attempt in (1, 2):
-        (step,) = book.waiting_steps()
-        run = book.begin_run(step, 0, "w1", 0.0)
-        book.note_started(run)
+        (step,) = job_registry.waiting_steps()
+        run = job_registry.begin_run(step, 0, "w1", 0.0)
+        job_registry.note_started(run)
         key = TaskKey(ID, 0, 0, 0)
-        book.end_run(key, attempt, EndOutcome.FAILED, "", "w1", 1.0)
-        assert book.get(ID).status not in JobStatus.FINAL
+        job_registry.end_run(key, attempt, EndOutcome.FAILED, "", "w1", 1.0)
+        assert job_registry.get(ID).status not in JobStatus.FINAL
 
 
 def test_job_of_an_unknown_queue_keeps_its_advice_policy_and_priority(
--- a/tests/placement/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -32,7 +32,7 @@
     def __init__(self, seed):
         self._draw = random.Random(seed)
         self._names = (f"{number:016x}" for number in itertools.count())
-        self._book = JobRegistry()
+        self._job_registry = JobRegistry()
         self.rooms = Rooms()
         # Priority by name of the run; None if it may not be stopped.
         self.priorities = {}
@@ -51,7 +51,7 @@
 
     def _add(self, step, priority):
         document = JobDocument(next(self._names), "q", "pool", "t", [step], 0.0)
-        job = self._book.add(document, _queue(priority), 0.0)
+        job = self._job_registry.add(document, _queue(priority), 0.0)
         return job.steps()[0]
 
     def _waiting_step(self):
@@ -84,7 +84,7 @@
         if not room.has_room(demand):
             return
         state = self._add(Step(1, demand), 0)
-        run = self._book.begin_run(state, 0, room.worker, 0.0)
+        run = self._job_registry.begin_run(state, 0, room.worker, 0.0)
         run.phase = self._draw.choice((RunPhase.RUNNING,) * 4 + (RunPhase.STOPPING,))
         room.reserve(run)
         self.priorities[run.name] = self._draw.choice((None, *PRIORITIES))
--- a/tests/pool/fault_simulation.py
+++ b/tests/pool/fault_simulation.py
@@ -375,7 +375,7 @@
         return [
             TaskKey(*step.key, index)
             for identifier in self._identifiers
-            for step in self._owner.book.get(identifier).steps()
+            for step in self._owner.job_registry.get(identifier).steps()
             for index, task in enumerate(step.tasks)
             if not task.is_done and TaskKey(*step.key, index) not in active
         ]
@@ -410,7 +410,7 @@
         document = JobDocument(identifier, "q", "pool", "t", steps, 0.0)
         partition = f"pool/{int(identifier, 16) % 8}"
         self._host.put(JOBS_TABLE, partition, identifier, document.as_record())
-        self._owner.book.add(document, QUEUE, self.now)
+        self._owner.job_registry.add(document, QUEUE, self.now)
         self._identifiers.append(identifier)
 
     def _draw_steps(self):
--- a/tests/pool/owners.py
+++ b/tests/pool/owners.py
@@ -74,7 +74,7 @@
 
 
 def waiting_tasks(owner):
-    return sum(len(step.waiting) for step in owner.book.waiting_steps())
+    return sum(len(step.waiting) for step in owner.job_registry.waiting_steps())
 
 
 def place(owner):
--- a/tests/pool/standins.py
+++ b/tests/pool/standins.py
@@ -184,7 +184,7 @@
         identifier = f"{len(self.submitted_at) + 1:016x}"
         document = JobDocument(identifier, "q", "pool", "t", [step], 0.0)
         with self.owner.lock:
-            self.owner.book.add(document, queue, self.now)
+            self.owner.job_registry.add(document, queue, self.now)
         self.submitted_at[identifier] = self.now
         return identifier
 
@@ -213,7 +213,7 @@
             wait = link._poll_seconds() if link._worker_clock else self.POLL_SECONDS
             if has_ended or self.now - self._polled_at[worker.name] >= wait:
                 self._poll(worker)
-        for job in self.owner.book.jobs():
+        for job in self.owner.job_registry.jobs():
             if job.is_final:
                 self.finished.setdefault(job.identifier, self.now)
 
@@ -237,7 +237,7 @@
             run = start.run
             run.note_sent(self.now)
             self.workers[run.worker].runs[run.name] = 0.0
-            self.owner.book.note_started(run)
+            self.owner.job_registry.note_started(run)
         tasks, orders._stop_executor.tasks = orders._stop_executor.tasks, []
         for step, args in tasks:
             if step == orders._stop:
--- a/tests/pool/takeovers.py
+++ b/tests/pool/takeovers.py
@@ -99,14 +99,14 @@
 
 def is_placed(owner, number):
     def is_over():
-        step = owner.book.step_of(TaskKey(identifier_of(number), 0, 0, 0))
+        step = owner.job_registry.step_of(TaskKey(identifier_of(number), 0, 0, 0))
         return bool(step.tasks[0].runs)
 
     return is_over
 
 
 def add_job(host, owner, number, step, queue):
-    """Add a new job of one step to the owner's job book."""
+    """Add a new job of one step to the owner's job registry."""
     document = JobDocument(identifier_of(number), "q", "pool", "t", [step], 0.0)
     with owner.lock:
-        owner.book.add(document, queue, host.clock.monotonic())
+        owner.job_registry.add(document, queue, host.clock.monotonic())
--- a/tests/pool/test_advice_candidates.py
+++ b/tests/pool/test_advice_candidates.py
@@ -31,7 +31,7 @@
     for name in _names():
         register(host, name)
     found = owner_of(host)
-    found.book.add(job(), ADVISED, host.clock.monotonic())
+    found.job_registry.add(job(), ADVISED, host.clock.monotonic())
     return found
 
 
@@ -50,7 +50,7 @@
 
 
 def _request(owner):
-    step = owner.book.step_of(StepKey(ID, 0, 0))
+    step = owner.job_registry.step_of(StepKey(ID, 0, 0))
     owner.advice_manager.request(step, owner.host.clock.monotonic())
 
 
--- a/tests/pool/test_count_age.py
+++ b/tests/pool/test_count_age.py
@@ -74,7 +74,7 @@
 
 
 def test_count_is_unknown_until_the_state_was_read(pool):
-    """Guards against taking an empty book for a pool without waiting jobs."""
+    """Guards against taking an empty job registry for a pool without waiting jobs."""
     _, owner = pool
     owner.has_read_state = False
     confirm(owner)
--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -74,7 +74,7 @@
 
     def __init__(self, store):
         self.lock = threading.RLock()
-        self.book = JobRegistry()
+        self.job_registry = JobRegistry()
         self.link = FakeLink()
         self.roster = WorkerRoster(PROGRESS_TABLE, "pool")
         version = store.apply([], [RowWrite(CELL_TABLE, "pool", "owner", {})])
@@ -132,13 +132,15 @@
 def _job(owner, identifier=IDS[0], tasks=2):
     step = Step(tasks, Amounts(1, 1))
     document = JobDocument(identifier, "q", "pool", "t", [step], 0.0)
-    job = owner.book.add(document, QUEUE, 0.0)
-    (state,) = [s for s in owner.book.waiting_steps() if s.job is job]
-    return job, [owner.book.begin_run(state, index, "w", 0.0) for index in range(tasks)]
+    job = owner.job_registry.add(document, QUEUE, 0.0)
+    (state,) = [s for s in owner.job_registry.waiting_steps() if s.job is job]
+    return job, [
+        owner.job_registry.begin_run(state, index, "w", 0.0) for index in range(tasks)
+    ]
 
 
 def _done(owner, run):
-    owner.book.end_run(run.key, run.attempt, "done", "", "w", 0.0)
+    owner.job_registry.end_run(run.key, run.attempt, "done", "", "w", 0.0)
     owner.link.processed += 1
 
 
--- a/tests/pool/test_large_tasks.py
+++ b/tests/pool/test_large_tasks.py
@@ -29,7 +29,7 @@
     Returns None if the job has not begun in time.
     """
     begun = load.now
-    job = load.owner.book.get(identifier)
+    job = load.owner.job_registry.get(identifier)
     while load.now - begun < seconds:
         load.submit_step(step(), queue)
         load.run(0.25)
@@ -87,7 +87,7 @@
     load.run(0.5)
     identifier = load.submit_step(_large(2, is_gang=True), URGENT)
     load.run(1.5)
-    assert load.owner.book.get(identifier).status == JobStatus.RUNNING
+    assert load.owner.job_registry.get(identifier).status == JobStatus.RUNNING
 
 
 def test_small_task_uses_held_capacity_until_it_is_needed():
@@ -100,9 +100,9 @@
     short = load.submit_step(Step(1, Amounts(100, 10, 1), 0.5), URGENT)
     long = load.submit_step(Step(1, Amounts(100, 10, 1), 20.0), URGENT)
     load.run(0.1)
-    book = load.owner.book
-    assert book.get(short).status == JobStatus.RUNNING
-    assert book.get(long).status == JobStatus.WAITING
+    job_registry = load.owner.job_registry
+    assert job_registry.get(short).status == JobStatus.RUNNING
+    assert job_registry.get(long).status == JobStatus.WAITING
 
 
 def test_task_returns_to_the_worker_that_failed_it_if_others_are_full():
@@ -112,13 +112,13 @@
     load.run(0.5)
     load.workers["w1"].speed = 0.2
     identifier = load.submit_step(_small(1), LOW_PRIORITY)
-    (step,) = (one for one in load.owner.book.waiting_steps())
+    (step,) = (one for one in load.owner.job_registry.waiting_steps())
     step.tasks[0].failed_on.add("w0")
     load.run(0.5)
-    assert load.owner.book.get(other).status == JobStatus.RUNNING
-    assert load.owner.book.get(identifier).status == JobStatus.WAITING
+    assert load.owner.job_registry.get(other).status == JobStatus.RUNNING
+    assert load.owner.job_registry.get(identifier).status == JobStatus.WAITING
     load.run(2 * SECONDS)
-    assert load.owner.book.get(identifier).status != JobStatus.WAITING
+    assert load.owner.job_registry.get(identifier).status != JobStatus.WAITING
 
 
 def test_member_of_a_gang_that_failed_on_a_worker_is_placed_first():
@@ -126,7 +126,7 @@
     load = PoolSimulation(workers=2, length=SECONDS, accelerators=8)
     with load.owner.lock:
         load.submit_step(_large(2, is_gang=True), URGENT)
-        (step,) = load.owner.book.waiting_steps()
+        (step,) = load.owner.job_registry.waiting_steps()
         step.tasks[1].failed_on.add("w0")
     load.run(0.2)
     assert [run.worker for run in step.active_runs()] == ["w0", "w1"]
@@ -139,7 +139,7 @@
     load.run(0.5)
     load.submit_step(_large(), URGENT)
     load.run(0.5)
-    (step,) = load.owner.book.waiting_steps()
+    (step,) = load.owner.job_registry.waiting_steps()
     assert step.held_on
     load.run(2 * SECONDS)
     assert not step.waiting
--- a/tests/pool/test_last_resort.py
+++ b/tests/pool/test_last_resort.py
@@ -54,17 +54,17 @@
     were stopped every 0.8 s and placed again.
     """
     host, owner = owner_with(job())
-    (step,) = owner.book.waiting_steps()
+    (step,) = owner.job_registry.waiting_steps()
     step.tasks[0].failed_on.add("w1")
     owner.rooms.get("w2").processors = 0
     low_priority = JobDocument(
         "1" * 16, "q", "pool", "t", [Step(4, Amounts(1000, 10))], 0.0
     )
-    owner.book.add(low_priority, QUEUE, host.clock.monotonic())
-    (other,) = (one for one in owner.book.waiting_steps() if one is not step)
+    owner.job_registry.add(low_priority, QUEUE, host.clock.monotonic())
+    (other,) = (one for one in owner.job_registry.waiting_steps() if one is not step)
     for index in range(4):
         run = owner.decisions._begin(other, index, "w1", None)
-        owner.book.note_started(run)
+        owner.job_registry.note_started(run)
     assert place(owner) == []
     stoppable = StoppableRuns(owner.rooms, lambda run: 1)
     assert choose_victims(step, owner.rooms, None, stoppable) == []
--- a/tests/pool/test_links.py
+++ b/tests/pool/test_links.py
@@ -292,7 +292,7 @@
     (run,) = place(owner)
     ends = [EndReport(1, KEY, run.attempt, "done")]
     owner.report_handler.note_report(link, WorkerReport(50.0, 2, [], ends), now)
-    assert owner.book.get(ID).status == JobStatus.COMPLETED
+    assert owner.job_registry.get(ID).status == JobStatus.COMPLETED
 
 
 class ImmediatePlacement:
@@ -330,4 +330,4 @@
     link._clock = host.clock = _NonBlockingClock(host.clock.monotonic())
     link._poll()
     assert placement.placed == []
-    assert owner.book.step_of(KEY).tasks[0].is_done == has_ended
+    assert owner.job_registry.step_of(KEY).tasks[0].is_done == has_ended
--- a/tests/pool/test_liveness.py
+++ b/tests/pool/test_liveness.py
@@ -50,14 +50,14 @@
 
 
 def runs(load):
-    (job,) = load.owner.book.jobs()
+    (job,) = load.owner.job_registry.jobs()
     return job.occurrences[0][0].active_runs()
 
 
 def waiting_after_check(load, machines):
     """Check silent workers once; return how many tasks wait for a worker."""
     LivenessCheck(load.owner, machines).check_once()
-    (job,) = load.owner.book.jobs()
+    (job,) = load.owner.job_registry.jobs()
     return len(job.occurrences[0][0].waiting)
 
 
--- a/tests/pool/test_orders.py
+++ b/tests/pool/test_orders.py
@@ -77,7 +77,7 @@
         step = Step(tasks, Amounts(1000, 10))
         document = JobDocument(f"{number:016x}", "q", "pool", "t", [step], 0.0)
         with self.owner.lock:
-            return self.owner.book.add(document, queue, self.owner.now())
+            return self.owner.job_registry.add(document, queue, self.owner.now())
 
     def decide(self):
         """Wait for one scheduling round, and send the starts of placed tasks."""
@@ -213,7 +213,7 @@
         return run is not None and run.phase == RunPhase.RUNNING
 
     assert wait_until(is_urgent_begun)
-    assert wait_until(lambda: pool.decide() or not owner.book.waiting_steps())
+    assert wait_until(lambda: pool.decide() or not owner.job_registry.waiting_steps())
     owner.stop()
     decider.join(SOON_SECONDS)
 
--- a/tests/pool/test_overload.py
+++ b/tests/pool/test_overload.py
@@ -45,7 +45,7 @@
 def test_work_is_overdue_once_its_result_is_of_no_use(waited, kind):
     load = PoolSimulation(workers=1, length=SECONDS)
     load.submit_job(tasks=1, estimate=SECONDS)
-    (step,) = load.owner.book.waiting_steps()
+    (step,) = load.owner.job_registry.waiting_steps()
     found, _ = latest_start(step, load.now + waited)
     assert found == kind
 
@@ -56,7 +56,7 @@
     step = Step(1, Amounts(1000, 10), 1.0, is_lasting=kind == "lasting")
     times = 2 if kind == "timed" else 0
     document = JobDocument("a" * 16, "q", "pool", "t", [step], 0.0, times, 1e12, 1.0)
-    job = load.owner.book.add(document, QUEUE, load.now)
+    job = load.owner.job_registry.add(document, QUEUE, load.now)
     (state,) = job.open_occurrence(1)
     found, _ = latest_start(state, load.now + 1000.0)
     assert found == Timeliness.IN_TIME
@@ -108,7 +108,7 @@
     for _ in range(20):
         load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     full, *others = load.workers
-    for step in owner.book.waiting_steps():
+    for step in owner.job_registry.waiting_steps():
         owner.advice_manager.request_if_useful(step, load.now)
         policy = ADVISED.advice
         tickets = {full: "t"}
@@ -142,7 +142,7 @@
     owner.advice_manager._cache._ask = lambda key, workers, expected: None
     for _ in range(400):
         load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
-    for step in owner.book.waiting_steps():
+    for step in owner.job_registry.waiting_steps():
         owner.advice_manager.request(step, load.now)
         tickets = dict.fromkeys(load.workers, "t")
         owner.advice_manager._cache.note_answer(
@@ -152,7 +152,7 @@
     scans = []
     owner.rooms = CountingRooms(owner.rooms, scans)
     owner.decisions.place(load.now)
-    assert len(owner.book.waiting_steps()) > 300
+    assert len(owner.job_registry.waiting_steps()) > 300
     assert len(scans) < 10
 
 
@@ -165,7 +165,7 @@
     *others, free = load.workers
     for _ in range(400):
         load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
-    *steps, last = owner.book.waiting_steps()
+    *steps, last = owner.job_registry.waiting_steps()
     for step in steps:
         _answer_request(owner, step, others, load.now)
     owner.decisions.place(load.now)
@@ -174,7 +174,7 @@
     owner.rooms = CountingRooms(owner.rooms, scans)
     owner.decisions.place(load.now)
     assert [run.worker for run in last.active_runs()] == [free] * 4
-    assert len(owner.book.waiting_steps()) > 300
+    assert len(owner.job_registry.waiting_steps()) > 300
     assert scans.count("choose") == 4
     assert len(scans) < 20
 
@@ -212,7 +212,7 @@
     for _ in range(16):
         load.submit_job(tasks=4, estimate=SECONDS)
         load.run(0.25)
-    assert load.owner.book.get(lasting).status == JobStatus.RUNNING
+    assert load.owner.job_registry.get(lasting).status == JobStatus.RUNNING
 
 
 def test_urgent_queue_refuses_jobs_that_would_be_overdue():
--- a/tests/pool/test_owner.py
+++ b/tests/pool/test_owner.py
@@ -134,7 +134,7 @@
     owner = owner_of(host)
     report(owner, "w1", ends=[(KEY, 1, "failed")])
     report(owner, "w2")
-    assert owner.book.get(ID).status != JobStatus.FAILED
+    assert owner.job_registry.get(ID).status != JobStatus.FAILED
     assert waiting_tasks(owner) == 1
 
 
@@ -147,7 +147,7 @@
     runs = place(owner)
     assert {run.worker for run in runs} == {"w1"}
     report(owner, "w1", ends=[(run.key, 1, "failed") for run in runs])
-    assert owner.book.get(ID).status != JobStatus.FAILED
+    assert owner.job_registry.get(ID).status != JobStatus.FAILED
     assert waiting_tasks(owner) == 2
 
 
@@ -202,7 +202,7 @@
     report(owner, run.worker, has_more_ends=True)
     assert waiting_tasks(owner) == 0
     report(owner, run.worker, ends=[(KEY, 1, "done")])
-    assert owner.book.get(ID).status == JobStatus.COMPLETED
+    assert owner.job_registry.get(ID).status == JobStatus.COMPLETED
 
 
 def test_unanswered_start_keeps_its_capacity_until_it_is_known_not_to_run(host):
@@ -243,7 +243,7 @@
     report(owner, run.worker, runs=[(KEY, 1)])
     host.clock.advance(0.1)
     report(owner, run.worker, ends=[(KEY, 1, "done")])
-    assert owner.book.get(ID).status == JobStatus.COMPLETED
+    assert owner.job_registry.get(ID).status == JobStatus.COMPLETED
 
 
 @pytest.mark.parametrize(
@@ -298,7 +298,7 @@
     assert waiting_tasks(owner) == 0
     assert place(owner) == []
     report(owner, "w1", ends=[(KEY, 2, "done")])
-    assert owner.book.get(ID).status == JobStatus.COMPLETED
+    assert owner.job_registry.get(ID).status == JobStatus.COMPLETED
 
 
 def test_old_end_does_not_release_a_held_gang(host):
@@ -347,7 +347,7 @@
     assert second.attempt == 2
     owner.orders._start(link, start)
     assert client.started == []
-    assert owner.book.step_of(KEY).tasks[0].runs == [second]
+    assert owner.job_registry.step_of(KEY).tasks[0].runs == [second]
 
 
 def test_records_may_be_incomplete_until_all_workers_have_reported(host):
@@ -363,7 +363,7 @@
     report(owner, "w1", runs=[(KEY, 1)])
     assert owner.may_lack_records()
     report(owner, "w2")
-    assert ID in owner.book.changed
+    assert ID in owner.job_registry.changed
     assert owner.may_lack_records()
     host.clock.advance(1.1)
     assert not owner.may_lack_records()
@@ -421,7 +421,7 @@
     assert waiting_tasks(owner) == 0
     host.clock.advance(0.1)
     report(owner, "w2", ends=[(TaskKey(ID, 0, 1, 0), 1, "done")])
-    assert owner.book.get(ID).status == JobStatus.COMPLETED
+    assert owner.job_registry.get(ID).status == JobStatus.COMPLETED
 
 
 def test_failures_count_in_any_order_of_reports(host):
@@ -434,7 +434,7 @@
     owner = owner_of(host, is_journal_exact=False)
     report(owner, "w2", ends=[(KEY, 2, "failed")])
     report(owner, "w1", ends=[(KEY, 1, "failed")])
-    assert owner.book.get(ID).status == JobStatus.FAILED
+    assert owner.job_registry.get(ID).status == JobStatus.FAILED
 
 
 @pytest.mark.parametrize(
@@ -453,7 +453,7 @@
     document = JobDocument(other, "q", "pool", "t", [Step(1, Amounts(1, 1))], 0.0)
     host.put(JOBS_TABLE, "pool/1", other, document.as_record())
     owner = owner_of(host)
-    assert [job.identifier for job in owner.book.jobs()] == [other]
+    assert [job.identifier for job in owner.job_registry.jobs()] == [other]
 
 
 @pytest.mark.parametrize("record", [{"status": "cancelled"}, None])
@@ -472,7 +472,7 @@
     (run,) = owner.rooms.get("w1").runs.values()
     assert run.stop_requested is not None
     waiting = JobDocument("0" * 16, "q", "pool", "t", [Step(8, Amounts(1000, 10))], 0.0)
-    owner.book.add(waiting, QUEUE, host.clock.monotonic())
+    owner.job_registry.add(waiting, QUEUE, host.clock.monotonic())
     assert {run.worker for run in place(owner)} == {"w2"}
     report(owner, "w1", ends=[(KEY, 1, "stopped")])
     assert {run.worker for run in place(owner)} == {"w1"}
--- a/tests/pool/test_preemption.py
+++ b/tests/pool/test_preemption.py
@@ -17,19 +17,19 @@
 LOW_PRIORITY_TASKS = 8
 
 
-class CountingBook:
-    """Wrapper of a job book that counts how often the step of a run is looked up."""
+class CountingJobRegistry:
+    """Wrapper of a job registry that counts the lookups of the steps of runs."""
 
-    def __init__(self, book):
-        self._book = book
+    def __init__(self, job_registry):
+        self._job_registry = job_registry
         self.lookups = 0
 
     def step_of(self, key):
         self.lookups += 1
-        return self._book.step_of(key)
+        return self._job_registry.step_of(key)
 
     def __getattr__(self, name):
-        return getattr(self._book, name)
+        return getattr(self._job_registry, name)
 
 
 class CountingRooms:
@@ -67,10 +67,16 @@
 def _count_scans(load):
     """Return how many runs are looked up, and workers scanned, by one preemption."""
     owner = load.owner
-    owner.book, owner.rooms = CountingBook(owner.book), CountingRooms(owner.rooms)
+    owner.job_registry, owner.rooms = (
+        CountingJobRegistry(owner.job_registry),
+        CountingRooms(owner.rooms),
+    )
     owner.decisions.preempt(load.now)
-    counts = owner.book.lookups, owner.rooms.scanned
-    owner.book, owner.rooms = owner.book._book, owner.rooms._rooms
+    counts = owner.job_registry.lookups, owner.rooms.scanned
+    owner.job_registry, owner.rooms = (
+        owner.job_registry._job_registry,
+        owner.rooms._rooms,
+    )
     return counts
 
 
@@ -86,7 +92,7 @@
         load.submit_job(tasks=4, estimate=SECONDS, queue=queue)
     load.run(1.0)
     runs, workers = _count_scans(load)
-    assert len(load.owner.book.waiting_steps()) == 300
+    assert len(load.owner.job_registry.waiting_steps()) == 300
     assert runs <= CAPACITY
     assert workers <= 2 * WORKERS
 
@@ -98,13 +104,13 @@
     owner.host.queue_of = lambda document: ADVISED
     owner.advice_manager._cache._ask = lambda key, workers, expected: None
     low_priority = next(
-        job for job in owner.book.live_jobs() if job.queue is LOW_PRIORITY
+        job for job in owner.job_registry.live_jobs() if job.queue is LOW_PRIORITY
     )
     places = {run.worker for step in low_priority.steps() for run in step.active_runs()}
     for _ in range(300):
         load.submit_job(tasks=4, estimate=SECONDS, queue=ADVISED)
     tickets = dict.fromkeys(set(load.workers) - places, "t")
-    for step in owner.book.waiting_steps():
+    for step in owner.job_registry.waiting_steps():
         owner.advice_manager.request(step, load.now)
         policy = ADVISED.advice
         owner.advice_manager._cache.note_answer(step.key, tickets, policy, load.now)
--- a/tests/pool/test_reconciliation.py
+++ b/tests/pool/test_reconciliation.py
@@ -93,7 +93,7 @@
     store_job(host, job(tasks=2), record)
     first = owner_of(host)
     report(first, "w2", ends=[(KEY._replace(index=1), 1, "done")])
-    state = first.book.get(ID)
+    state = first.job_registry.get(ID)
     host.rows[(PROGRESS_TABLE, "pool")].clear()
     host.put(PROGRESS_TABLE, "pool", ID, json.loads(json.dumps(progress_record(state))))
     second = owner_of(host)
--- a/tests/pool/test_run_monitor.py
+++ b/tests/pool/test_run_monitor.py
@@ -82,6 +82,6 @@
     load.submit_job(tasks=1)
     load.run(20.0)
     assert load.stops == 2
-    (job,) = load.owner.book.jobs()
+    (job,) = load.owner.job_registry.jobs()
     (run,) = job.occurrences[0][0].active_runs()
     assert run.attempt == 3
--- a/tests/pool/test_run_times.py
+++ b/tests/pool/test_run_times.py
@@ -43,7 +43,7 @@
 
     @property
     def step(self):
-        return self.owner.book.step_of(TaskKey(ID, 0, 0, 0))
+        return self.owner.job_registry.step_of(TaskKey(ID, 0, 0, 0))
 
     def send(self, *starts):
         for start in starts:
--- a/tests/pool/test_status_feed.py
+++ b/tests/pool/test_status_feed.py
@@ -24,7 +24,7 @@
     caller is charged twice.
     """
     load.run(2.0)
-    (job,) = load.owner.book.jobs()
+    (job,) = load.owner.job_registry.jobs()
     assert job.status == JobStatus.COMPLETED
     if is_store_unavailable:
         load.owner.recording.note_failure()
@@ -32,7 +32,7 @@
     assert load.owner.status_feed.all_states() == {job.identifier: JobStatus.RUNNING}
     assert load.owner.status_feed.take_changes() == {job.identifier: JobStatus.RUNNING}
     job.durable_status = JobStatus.COMPLETED
-    load.owner.book.status_changes.add(job.identifier)
+    load.owner.job_registry.status_changes.add(job.identifier)
     assert load.owner.status_feed.take_changes() == {
         job.identifier: JobStatus.COMPLETED
     }
@@ -41,6 +41,6 @@
 @pytest.mark.parametrize("status", [JobStatus.FAILED, JobStatus.CANCELLED])
 def test_other_final_statuses_are_visible_only_when_durable(load, status):
     load.owner.recording.note_failure()
-    (job,) = load.owner.book.jobs()
-    load.owner.book.finish(job, status, load.now)
+    (job,) = load.owner.job_registry.jobs()
+    load.owner.job_registry.finish(job, status, load.now)
     assert load.owner.status_feed.take_changes() == {job.identifier: JobStatus.RUNNING}
--- a/tests/pool/test_takeover_advice.py
+++ b/tests/pool/test_takeover_advice.py
@@ -54,9 +54,9 @@
     for number in range(1, 19):
         step = Step(1, Amounts(1000, 10), 6.0)
         document = JobDocument(identifier_of(number), "q", "pool", "t", [step], 0.0)
-        owner.book.add(document, QUEUE, host.clock.monotonic())
+        owner.job_registry.add(document, QUEUE, host.clock.monotonic())
     most = PEER_DISCOVERY_SECONDS + 3 * POLICY.expected_seconds(WORKERS) + 0.2
-    took = run_until(host, owner, lambda: not owner.book.waiting_steps(), 20.0)
+    took = run_until(host, owner, lambda: not owner.job_registry.waiting_steps(), 20.0)
     assert took < most
 
 
@@ -72,7 +72,9 @@
     host.clock.advance(seconds)
     with owner.lock:
         owner.advice_manager.prefetch(host.clock.monotonic())
-    next_steps = [owner.book.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(4)]
+    next_steps = [
+        owner.job_registry.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(4)
+    ]
     statuses = [
         owner.advice_manager.status(one, host.clock.monotonic()) for one in next_steps
     ]
@@ -92,7 +94,7 @@
     with owner.lock:
         owner.tick(now)
     next_steps = [
-        owner.book.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(60)
+        owner.job_registry.step(TaskKey(identifier_of(n), 0, 1, 0)) for n in range(60)
     ]
     ages = [owner.advice_manager.status(one, now).asked_seconds for one in next_steps]
     assert sum(one is not None for one in ages) == 0
@@ -136,7 +138,7 @@
     found = _requests(monkeypatch, host)
     steps = [Step(1, Amounts(1000, 10), 6.0), Step(1, Amounts(1000, 10), after=[0])]
     document = JobDocument(identifier_of(5), "q", "pool", "t", steps, 0.0)
-    job = owner.book.add(document, QUEUE, owner.now())
+    job = owner.job_registry.add(document, QUEUE, owner.now())
     for step in job.steps():
         owner.advice_manager.request(step, owner.now())
     return owner, job, found
@@ -154,5 +156,5 @@
     if end == "owner":
         owner.stop()
     else:
-        owner.book.cancel(job.identifier, owner.now())
+        owner.job_registry.cancel(job.identifier, owner.now())
     assert not is_needed()
--- a/tests/pool/test_takeover_progress.py
+++ b/tests/pool/test_takeover_progress.py
@@ -42,7 +42,7 @@
     for worker in ("w1", "w2"):
         listed = [run.name for run in started if run.worker == worker]
         report(owner, worker, listed, percent=33)
-    slow, _ = compare_runs(owner.book.step_of(keys[2]))
+    slow, _ = compare_runs(owner.job_registry.step_of(keys[2]))
     assert len(started) == 2
     assert slow == []
 
@@ -68,7 +68,7 @@
     store_job(host, document)
     store_other(host, 1, accepted_at=host.clock.time() - 0.1)
     owner = owner_of(host)
-    steps = {step.key.job: step for step in owner.book.waiting_steps()}
+    steps = {step.key.job: step for step in owner.job_registry.waiting_steps()}
     old, _ = latest_start(steps[ID], host.clock.monotonic())
     fresh, _ = latest_start(steps[f"{1:016x}"], host.clock.monotonic())
     assert (old, fresh) == (Timeliness.OVERDUE, Timeliness.IN_TIME)
@@ -80,7 +80,7 @@
     document.accepted_at = host.clock.time() + 20.0
     store_job(host, document)
     owner = owner_of(host)
-    assert owner.book.get(ID).arrived_at == host.clock.monotonic()
+    assert owner.job_registry.get(ID).arrived_at == host.clock.monotonic()
 
 
 def test_job_is_not_overdue_if_the_clock_of_the_new_owner_is_ahead(monkeypatch):
@@ -96,7 +96,7 @@
     ahead = host.clock.monotonic() + 60.0
     monkeypatch.setattr(type(host.clock), "time", lambda clock: ahead)
     owner = owner_of(host)
-    (step,) = owner.book.waiting_steps()
+    (step,) = owner.job_registry.waiting_steps()
     found, _ = latest_start(step, host.clock.monotonic())
     assert found != Timeliness.OVERDUE
 
@@ -131,7 +131,7 @@
         report(first, worker)
     (run,) = place(first)
     report(first, run.worker, ends=[(*run.name, "failed")])
-    host.put(PROGRESS_TABLE, "pool", ID, progress_record(first.book.get(ID)))
+    host.put(PROGRESS_TABLE, "pool", ID, progress_record(first.job_registry.get(ID)))
     second = owner_of(host)
     for worker in ("w1", "w2"):
         report(second, worker)
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -200,7 +200,7 @@
     _make_endless(load)
     step = Step(6, Amounts(1000, 10), is_lasting=True, unavailable_limit=limit)
     document = JobDocument("a" * 16, "q", "pool", "t", [step], 0.0)
-    load.owner.book.add(document, QUEUE, load.now)
+    load.owner.job_registry.add(document, QUEUE, load.now)
     load.run(3.0)
     assert _available(load) == 6
     max_unavailable = 0
--- a/tests/pool/test_usefulness.py
+++ b/tests/pool/test_usefulness.py
@@ -34,7 +34,7 @@
     """
     host, owner = owner_with(job(tasks=3, tasks_per_worker=1))
     assert len(place(owner)) == 2
-    (step,) = owner.book.waiting_steps()
+    (step,) = owner.job_registry.waiting_steps()
     now = host.clock.monotonic()
     owner.advice_manager._cache._ask = lambda key, workers, expected: None
     owner.advice_manager._cache.request(step.key, POLICY, ["w1", "w2"], now)
--- a/tests/pool/test_waits.py
+++ b/tests/pool/test_waits.py
@@ -76,7 +76,7 @@
 def test_wait_for_capacity_on_allowed_workers_is_logged(waits):
     load = make_load(workers=2)
     load.submit_job(tasks=1, queue=ADVISED)
-    (step,) = load.owner.book.waiting_steps()
+    (step,) = load.owner.job_registry.waiting_steps()
     load.owner.advice_manager.request_if_useful(step, load.now)
     # Only the first worker may run it, and it is full.
     load.owner.advice_manager._cache.note_answer(
@@ -104,16 +104,16 @@
     load.submit_job(tasks=1, queue=ADVISED)
     place_after(load, 0.5)
     (identifier,) = load.submitted_at
-    (step,) = load.owner.book.waiting_steps()
+    (step,) = load.owner.job_registry.waiting_steps()
     assert load.owner.advice_manager.status(step, load.now).asked_seconds is not None
     host = SimpleNamespace(
         settings=SimpleNamespace(status_seconds=120.0),
         store=SimpleNamespace(transact=lambda *args, **options: 1),
     )
-    job = load.owner.book.get(identifier)
+    job = load.owner.job_registry.get(identifier)
     with load.owner.lock:
-        load.owner.book.cancel(identifier, load.now)
+        load.owner.job_registry.cancel(identifier, load.now)
         job.durable_status = job.status
     delete_expired_jobs(load.owner, host, load.now + 200.0)
-    assert load.owner.book.get(identifier) is None
+    assert load.owner.job_registry.get(identifier) is None
     assert load.owner.advice_manager.status(step, load.now).asked_seconds is None
