--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes at the interfaces, for tests in one process."""
+"""Fakes of the client interfaces for tests that run in one process."""
--- a/tests/fakes/pool.py
+++ b/tests/fakes/pool.py
@@ -1,4 +1,4 @@
-"""Reach the stand-ins in the same process, in place of HTTP."""
+"""Call the platform stand-ins in the same process instead of over HTTP."""
 
 import http.client
 import io
@@ -7,8 +7,8 @@
 from papayapick.clients.http import HttpAnswer
 
 
-def message(lines):
-    """Return headers in the form in which they come over a socket."""
+def build_headers(lines):
+    """Return the headers as the message object that http.client parses."""
     headers = http.client.HTTPMessage()
     for name, value in lines:
         headers[name] = value
@@ -16,7 +16,7 @@
 
 
 class InProcessPool:
-    """Hand requests to the platform's application, without a socket."""
+    """Replace the HTTP pool and call the platform's WSGI application directly."""
 
     def __init__(self, platform):
         self._platform = platform
@@ -45,10 +45,12 @@
         started = []
         answer = self._platform(environ, lambda *found: started.append(found))
         status, lines = started[0]
-        found = HttpAnswer(int(status.split()[0]), message(lines), b"".join(answer))
+        response = HttpAnswer(
+            int(status.split()[0]), build_headers(lines), b"".join(answer)
+        )
         if check is not None:
-            check(found)
-        return found
+            check(response)
+        return response
 
     def close(self):
-        """Hold nothing open."""
+        """Do nothing, as there are no connections to close."""
--- a/tests/fakes/scripted.py
+++ b/tests/fakes/scripted.py
@@ -1,4 +1,4 @@
-"""A table whose next transactions go as a test says, one by one."""
+"""A table in memory whose transactions follow a script given by the test."""
 
 from papayapick.clients import TableUnavailable
 from tests.standins.store import MemoryTable
@@ -9,7 +9,11 @@
 
 
 class ScriptedTable(MemoryTable):
-    """Follow a list of steps; a callable is run first, and the next step taken."""
+    """Apply, drop or delay each transaction as the next step of the script says.
+
+    A step is one of the constants above, or None for a transaction without a fault.
+    A callable step is run before the transaction, which then uses the step after it.
+    """
 
     def __init__(self, *steps):
         super().__init__()
@@ -28,6 +32,6 @@
             raise TableUnavailable()
 
     def apply_late(self):
-        """Let the first late transaction take effect, or fail on its conditions."""
+        """Apply the oldest delayed transaction; raise if its conditions fail."""
         conditions, writes = self.late.pop(0)
         super().transact(conditions, writes)
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform, by its published protocol."""
+"""In-memory stand-ins for the services of the platform, by its published protocol."""
 
 from tests.standins.board import FaultBoard
 from tests.standins.hosts import HostsStandin
--- a/tests/standins/board.py
+++ b/tests/standins/board.py
@@ -1,4 +1,4 @@
-"""Faults that tests switch on and off by target."""
+"""Faults that tests inject into the stand-ins, by target."""
 
 import threading
 
@@ -6,12 +6,13 @@
 
 
 class FaultBoard:
-    """Hold the faults in force.
+    """Store the active faults of each target.
 
-    ``down``: no effect, no answer. ``slow``: so many seconds first.
-    ``lose_answers``: the effect happens, the answer is lost; a number limits
-    how many. ``freeze``: waits until cleared. ``fail``: answers an error.
-    ``leave``: says in each answer that it leaves, and goes on answering.
+    ``down``: the call has no effect and fails. ``slow``: the call is delayed by the
+    value in seconds. ``lose_answers``: the call takes effect but its answer is lost; a
+    number limits the lost answers. ``freeze``: the call blocks until the fault is
+    cleared. ``fail``: the call returns an error. ``leave``: each answer announces that
+    the target is leaving; calls are still answered.
     """
 
     def __init__(self):
@@ -34,7 +35,7 @@
         return self._faults.get((target, kind))
 
     def take(self, target, kind):
-        """Return whether the fault is in force and use up one of a number."""
+        """Return whether the fault is active, and count down a limited one."""
         with self._condition:
             value = self._faults.get((target, kind))
             if value is True or not value:
@@ -43,7 +44,7 @@
             return True
 
     def delay(self, target):
-        """Wait as ``slow`` and ``freeze`` demand."""
+        """Block for as long as the faults ``slow`` and ``freeze`` require."""
         slow = self.get(target, "slow")
         if slow:
             threading.Event().wait(slow)
--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -1,7 +1,7 @@
-"""Stand in for the users' platform: store, workers and advice over HTTP.
+"""Stand-in for the users' platform: store, workers and advice over HTTP.
 
-Small on purpose: it keeps rows and runs in memory and takes faults by attribute.
-A worker's address carries its name as a path, so that one server serves all.
+Rows and runs are kept in memory, and tests inject faults by setting attributes.
+The path of a worker's address contains its name, so one server serves all workers.
 """
 
 import base64
@@ -26,7 +26,7 @@
 
 
 class Rows:
-    """Keep rows with one counter of versions and a history."""
+    """Store rows in memory with a common version counter and a change history."""
 
     def __init__(self):
         self.rows = {}
@@ -34,7 +34,7 @@
         self.history = []
         self.oldest = 0
         self.is_down = False
-        # So many answers to transactions are lost after they were applied.
+        # Number of transactions that are applied but whose answer is lost.
         self.answers_to_lose = 0
         self.transactions = 0
         self.changed = threading.Condition()
@@ -105,7 +105,7 @@
             self.oldest = self.version
 
     def write(self, table, part, key, value):
-        """Write as the operator or a worker does, past all rules."""
+        """Write a row without conditions, as the operator or a worker does."""
         encoded = base64.b64encode(json.dumps(value).encode()).decode()
         row = {"table": table, "part": part, "key": key, "value": encoded}
         self.transact({"expected_rev": [], "writes": [row], "remove": []})
@@ -138,7 +138,7 @@
         self.failing = set()
         self.is_silent = False
         self.starts_to_lose = 0
-        # Orders whose answer is lost and which are carried out by ``run_late``.
+        # Start orders that got no answer; ``run_late`` executes them.
         self.late = []
         self.starts_to_delay = 0
         self.changed = threading.Condition()
@@ -176,7 +176,7 @@
         return OK, self._body()
 
     def run_late(self):
-        """Carry out the orders that were left unanswered."""
+        """Execute the delayed start orders and return their answers."""
         with self.changed:
             late, self.late = self.late, []
             return [
@@ -243,12 +243,12 @@
 
 
 class Cluster:
-    """Serve the whole stand-in on one port."""
+    """Serve the store, the workers, the machines and the advice on one port."""
 
     def __init__(self):
         self.rows = Rows()
         self.workers = {}
-        # Those whose machine is down.
+        # Names of the workers whose machine is down.
         self.down = set()
         self.machines = MachinesStandin(self)
         self.advice_seconds = 0.0
@@ -265,7 +265,7 @@
         return f"127.0.0.1:{self._server.effective_port}"
 
     def reset(self):
-        """Forget all rows, workers and machines; no machine returns any more."""
+        """Remove all rows, workers and machines and cancel pending returns."""
         self.machines.close()
         self.rows.__init__()
         self.workers.clear()
@@ -273,9 +273,10 @@
         self.machines = MachinesStandin(self)
 
     def close(self):
-        """Stop listening; connections that are open are served on."""
+        """Stop listening; open connections are still served."""
         self.machines.close()
-        # Only the server's own thread knows when it waits for none of its sockets.
+        # Closed from another thread, the socket could be in a running select() call,
+        # so the server's own thread closes it.
         self._server.trigger.pull_trigger(self._stop_listening)
         assert self._is_closed.wait(CLOSE_SECONDS), "the server did not close"
 
@@ -327,7 +328,7 @@
         self.rows.write("op", "", "config", value)
 
     def starts(self):
-        """Return all starts so far, by task."""
+        """Return the (worker, attempt) pairs of all starts so far, by task."""
         found = {}
         for worker in self.workers.values():
             for task, attempt in worker.starts:
@@ -342,7 +343,8 @@
         query.setdefault("part", "")
         answer = self._answer(path, body, query, environ)
         if answer is None:
-            # Waitress closes the connection of an answer that is too short.
+            # Waitress closes the connection when the body is shorter than its
+            # Content-Length, so the client gets no complete answer.
             start_response(OK, [("Content-Length", "10")])
             return [b""]
         status, found = answer
@@ -355,7 +357,7 @@
         return [data]
 
     def ask_for_wave(self, number, names, seconds=30.0, at_once=1):
-        """Ask for the upkeep of workers' machines, as the operator does."""
+        """Write the operator's request for the upkeep of the workers' machines."""
         machines = [machine_of(name) for name in names]
         self.machines.waves[number] = set(machines)
         value = {
@@ -367,12 +369,12 @@
         self.rows.write("op", "", f"wave/{number}", value)
 
     def wave_state(self, number):
-        """Return how far a wave is said to be, or None."""
+        """Return the published state of a wave, or None if there is none."""
         row = self.rows.rows.get(("status", "", f"wave/{number}"))
         return row and json.loads(base64.b64decode(row["value"]))["state"]
 
     def crash(self, name):
-        """End a worker's life: it answers nothing, and the list shows it."""
+        """Crash a worker: it stops answering and its machine is listed as down."""
         worker = self.workers[name]
         with worker.changed:
             worker.is_silent = True
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -1,4 +1,4 @@
-"""Note the threads that die in a test, in place of failing it."""
+"""Collect uncaught exceptions of threads instead of failing the test."""
 
 import threading
 
@@ -7,11 +7,11 @@
 
 @pytest.fixture
 def deaths(monkeypatch):
-    """Return the exceptions that threads die of."""
-    found = []
+    """Return the list of the uncaught exceptions of threads."""
+    exceptions = []
 
-    def note(args):
-        found.append(args.exc_value)
+    def record(args):
+        exceptions.append(args.exc_value)
 
-    monkeypatch.setattr(threading, "excepthook", note)
-    return found
+    monkeypatch.setattr(threading, "excepthook", record)
+    return exceptions
--- a/tests/standins/hosts.py
+++ b/tests/standins/hosts.py
@@ -1,4 +1,4 @@
-"""The list of live and leaving hosts, which lags."""
+"""Stand-in for the service that lists the live and leaving hosts, with a lag."""
 
 import hashlib
 import json
@@ -16,14 +16,14 @@
         self._lock = threading.Lock()
 
     def put(self, line):
-        """Add or change a line; it shows after the lag."""
+        """Add or replace a host's entry; it is listed after the lag."""
         self._change(line["name"], line)
 
     def remove(self, name):
         self._change(name, None)
 
     def mark(self, name, state):
-        """Change the state of a line that was put before."""
+        """Change the state of a host that was added before."""
         with self._lock:
             lines = dict(self._shown)
             lines.update({found[1]: found[2] for found in self._changes})
--- a/tests/standins/instances.py
+++ b/tests/standins/instances.py
@@ -1,4 +1,4 @@
-"""Backend servers: instances of services with slots, fenced by epoch."""
+"""Stand-in for backend servers: service instances with slots, fenced by epoch."""
 
 import collections
 import json
@@ -16,7 +16,7 @@
 
 
 class InstancesStandin:
-    """All instances of a cell; each call names one."""
+    """Simulate all instances of a cell; each call names one of them."""
 
     def __init__(self, board, service_seconds=0.002):
         self._board = board
@@ -28,7 +28,7 @@
         self._instances[name] = _Instance(service, slots)
 
     def call(self, name, request_id, epoch, payload):
-        """Run one request: status, body and headers."""
+        """Run one request and return status, body and headers."""
         instance = self._instances[name]
         with self._lock:
             if epoch < instance.epoch:
@@ -65,7 +65,7 @@
             return 404, {}
 
     def runs(self):
-        """Return how often each request ran, over all instances."""
+        """Return the number of runs of each request over all instances."""
         total = collections.Counter()
         with self._lock:
             for instance in self._instances.values():
@@ -73,7 +73,7 @@
         return dict(total)
 
     def most(self):
-        """Return the most requests that any instance ran at once."""
+        """Return the highest number of requests that an instance ran at once."""
         return max((found.most for found in self._instances.values()), default=0)
 
     def _work(self, name, payload):
--- a/tests/standins/machines.py
+++ b/tests/standins/machines.py
@@ -1,4 +1,4 @@
-"""Stand for the service that knows the machines and takes orders for their upkeep."""
+"""Stand-in for the service that lists machines and accepts orders for their upkeep."""
 
 import threading
 
@@ -19,7 +19,7 @@
     ----------
     orders : list of (machine, wave, holder, token)
     most_away : int
-        Machines that were in upkeep at the same time.
+        Highest number of machines that were in upkeep at the same time.
     """
 
     def __init__(self, cluster):
@@ -29,7 +29,7 @@
         self.upkeep_seconds = 0.3
         self.in_upkeep = {}
         self.served = set()
-        # Machines of each wave that has been asked for.
+        # Machines of each requested wave, by its number.
         self.waves = {}
         self.orders = []
         self.most_away = 0
@@ -37,14 +37,14 @@
         self._is_closed = False
 
     def close(self):
-        """Let no machine return any more."""
+        """Cancel the timers, so that no machine returns after this call."""
         with self._lock:
             self._is_closed = True
             for timer in self._timers:
                 timer.cancel()
 
     def list(self, query):
-        """Answer a page of the machines, in the order of their names."""
+        """Return one page of the machines, sorted by name."""
         cluster = self._cluster
         with self._lock:
             names = sorted([*cluster.workers, *self.in_upkeep])
@@ -73,7 +73,7 @@
         }
 
     def begin_upkeep(self, body, environ):
-        """Answer an order for an upkeep."""
+        """Handle an order to begin the upkeep of a machine."""
         machine, wave = body["machine"], body["wave"]
         holder = environ.get("HTTP_X_LEASE_HOLDER", "")
         token = int(environ.get("HTTP_X_FENCING_TOKEN", 0))
@@ -111,7 +111,7 @@
 
     def _return(self, name):
         with self._lock:
-            # It may have waited for the lock of one that closes.
+            # Cancelling a timer has no effect once its thread waits for this lock.
             if self._is_closed:
                 return
             del self.in_upkeep[name]
@@ -119,5 +119,5 @@
 
 
 def machine_of(name):
-    """Return the machine on which a worker lives; later lives add to its id."""
+    """Return the machine of a worker; a restarted worker's id has a suffix."""
     return "m-" + name.partition(".")[0]
--- a/tests/standins/server.py
+++ b/tests/standins/server.py
@@ -1,7 +1,7 @@
 """Serve all stand-ins of one platform over HTTP.
 
-Run as ``python -m tests.standins.server DEPLOYMENT``; it prints its address as
-a JSON line and serves until it is ended.
+Run as ``python -m tests.standins.server DEPLOYMENT``. Prints its address as a JSON
+line and serves until the process is terminated.
 """
 
 import json
@@ -31,7 +31,10 @@
 
 
 class Platform:
-    """Route requests to the stand-ins; ``/control`` sets faults and counts."""
+    """Route requests to the stand-ins.
+
+    Requests to ``/control`` set faults, edit the host list and return counts.
+    """
 
     def __init__(self, clock=None, service_seconds=0.002):
         self.clock = clock or SystemClock()
@@ -43,7 +46,7 @@
         self.instances = InstancesStandin(self.board, service_seconds)
 
     def fill(self, bundle, url):
-        """Stand up 24 workers, 8 to a rack and zone, and 24 instances a service."""
+        """Add 8 workers to each zone, with one instance of each service per worker."""
         for zone, region in bundle.zones().items():
             for number in range(1, WORKERS_PER_ZONE + 1):
                 worker = f"worker-{zone}-{number:02d}"
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -1,4 +1,4 @@
-"""The transactional table and the object store, in memory."""
+"""In-memory stand-ins for the transactional table and the object store."""
 
 import threading
 
--- a/tests/standins/test_closing.py
+++ b/tests/standins/test_closing.py
@@ -1,4 +1,4 @@
-"""A cluster is closed while its server is at work."""
+"""Tests for closing a cluster while its server is running."""
 
 import concurrent.futures
 import threading
@@ -7,33 +7,33 @@
 from tests.standins.cluster import Cluster
 
 SECONDS = 10.0
-# More than enough for a close that waits for nobody.
+# Long enough for a close that does not wait for the server's thread.
 CLOSE_SECONDS = 0.3
 
 
-def test_close_takes_no_socket_from_under_the_server(deaths):
-    """The thread of a test's server dies with "bad file descriptor", once in a while.
+def test_close_does_not_close_sockets_in_use_by_the_server(deaths):
+    """Guard against a server thread that occasionally dies of "bad file descriptor".
 
-    The server had gathered what to wait for when the test closed the cluster from its
-    own thread. Then the server waited for sockets that were closed.
+    The server had collected its sockets for select() when the test closed them from
+    another thread, so the server waited on closed sockets.
     """
     cluster = Cluster()
-    is_gathering, may_go_on = threading.Event(), threading.Event()
+    is_polled, may_continue = threading.Event(), threading.Event()
     readable = cluster._server.readable
 
-    def gather():
-        found = readable()
-        is_gathering.set()
-        may_go_on.wait(SECONDS)
-        return found
+    def poll():
+        result = readable()
+        is_polled.set()
+        may_continue.wait(SECONDS)
+        return result
 
-    cluster._server.readable = gather
+    cluster._server.readable = poll
     cluster._server.pull_trigger()
-    assert is_gathering.wait(SECONDS)
+    assert is_polled.wait(SECONDS)
     with ThreadPoolExecutor(1) as executor:
         closing = executor.submit(cluster.close)
         concurrent.futures.wait([closing], CLOSE_SECONDS)
-        may_go_on.set()
+        may_continue.set()
         closing.result(SECONDS)
     cluster._thread.join(SECONDS)
     assert not cluster._thread.is_alive()
--- a/tests/standins/test_machines.py
+++ b/tests/standins/test_machines.py
@@ -1,4 +1,4 @@
-"""Machines in upkeep return to the cluster they left, and to no other."""
+"""Tests for the return of machines in upkeep to their cluster."""
 
 import threading
 
@@ -10,25 +10,25 @@
 
 
 class HeldTimer(threading.Thread):
-    """Fire when the test says so."""
+    """Replace threading.Timer by a timer that fires when the test calls it."""
 
     def __init__(self, seconds, function, args):
         super().__init__(target=function, args=args)
         self.is_cancelled = False
 
     def start(self):
-        """Wait for ``fire``."""
+        """Do nothing; the test calls ``fire`` or ``run_now``."""
 
     def cancel(self):
         self.is_cancelled = True
 
     def fire(self):
-        """Let the time be over, which changes nothing once it was cancelled."""
+        """Run the function unless the timer was cancelled."""
         if not self.is_cancelled:
             self.run_now()
 
     def run_now(self):
-        """Do what is due, as if the cancel had come too late."""
+        """Run the function even if cancelled, as if the cancel had come too late."""
         super().start()
         self.join(SECONDS)
         assert not self.is_alive()
@@ -36,15 +36,15 @@
 
 @pytest.fixture
 def timers(monkeypatch):
-    """Return the timers that were started, first the oldest."""
-    found = []
+    """Return the list of the created timers, oldest first."""
+    timers = []
 
-    def make(*arguments):
-        found.append(HeldTimer(*arguments))
-        return found[-1]
+    def create_timer(*arguments):
+        timers.append(HeldTimer(*arguments))
+        return timers[-1]
 
-    monkeypatch.setattr(threading, "Timer", make)
-    return found
+    monkeypatch.setattr(threading, "Timer", create_timer)
+    return timers
 
 
 @pytest.fixture
@@ -55,7 +55,7 @@
 
 
 def _begin_upkeep(cluster):
-    """Begin the upkeep of a new machine."""
+    """Add a worker and begin the upkeep of its machine."""
     cluster.add_worker("w1")
     cluster.ask_for_wave(7, ["w1"])
     order = {"machine": "m-w1", "wave": 7}
@@ -71,11 +71,11 @@
 
 
 def test_machine_does_not_return_to_a_cluster_that_was_reset(cluster, timers, deaths):
-    """A test has a thread die that another one left behind a minute before.
+    """Guard against a thread of an earlier test that dies in a later one.
 
-    The other one began an upkeep and ended; the next test of its file got the cluster
-    anew. Then the upkeep was over: its timer looked for the machine in a cluster that
-    had none in upkeep, and died in whatever test ran by then.
+    The earlier test began an upkeep and ended, and the cluster was reset. When the
+    timer of the upkeep fired, the cluster had no machine in upkeep, and the timer's
+    thread raised in whichever test was running.
     """
     _begin_upkeep(cluster)
     cluster.reset()
@@ -85,10 +85,10 @@
 
 
 def test_return_from_before_a_reset_ends_no_upkeep_after_it(cluster, timers, deaths):
-    """A machine is back long before its upkeep can be over.
+    """Guard against a machine that returns before the end of its upkeep.
 
-    A test began an upkeep and ended. The next one begins that of a machine of the same
-    name, and the first timer takes that machine for its own.
+    One test began an upkeep and ended; the next one began the upkeep of a machine of
+    the same name, and the timer of the first test returned that machine.
     """
     _begin_upkeep(cluster)
     cluster.reset()
@@ -99,10 +99,10 @@
 
 
 def test_machine_does_not_return_to_a_cluster_that_was_closed(cluster, timers, deaths):
-    """A test's last machine returns when the test is over.
+    """Guard against a machine that returns after its test has ended.
 
-    The cluster is closed while a machine is in upkeep, and a worker is added to it that
-    nobody can reach.
+    The cluster was closed while a machine was in upkeep, and the timer then added an
+    unreachable worker to it.
     """
     _begin_upkeep(cluster)
     cluster.close()
@@ -114,7 +114,7 @@
 def test_timer_that_has_fired_already_changes_no_closed_cluster(
     cluster, timers, deaths
 ):
-    # Its thread waits for the lock that the close holds, so the cancel comes too late.
+    # The timer's thread waits for the lock that close() holds, so the cancel is late.
     _begin_upkeep(cluster)
     cluster.close()
     timers[0].run_now()
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -1,4 +1,4 @@
-"""Workers that run tasks under leases and refuse lower epochs."""
+"""Stand-in for workers that run tasks under leases and refuse lower epochs."""
 
 import threading
 
@@ -24,7 +24,7 @@
 
 
 class WorkersStandin:
-    """All workers of a cell; each call names one."""
+    """Simulate all workers of a cell; each call names one of them."""
 
     def __init__(self, clock, drift=0.0):
         self._clock = clock
@@ -37,7 +37,7 @@
         self._workers[name] = _Worker(capacity)
 
     def call(self, name, path, body):
-        """Answer one POST: status and JSON value."""
+        """Handle one POST request and return its status and JSON value."""
         with self._lock:
             worker = self._workers.get(name)
             if worker is None:
@@ -49,7 +49,7 @@
             return getattr(self, "_" + path)(worker, body)
 
     def overfilled(self):
-        """Return how often any worker held more than its capacity."""
+        """Return how often a start exceeded the capacity of its worker."""
         return sum(worker.overfilled for worker in self._workers.values())
 
     def running(self):
@@ -97,7 +97,8 @@
         for name in body["tasks"]:
             task = worker.tasks.get(name)
             if task is None:
-                # A stop that overtakes its start must win over it.
+                # The stop arrived before its start; the record makes the later start
+                # have no effect.
                 task = _Task(name, {}, self._now(), 0, {})
                 worker.tasks[name] = task
             task.ended = task.ended or "stopped"
