--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -6,7 +6,7 @@
 
 
 @pytest.fixture
-def deaths(monkeypatch):
+def thread_exceptions(monkeypatch):
     """Return the list of the uncaught exceptions of threads."""
     exceptions = []
 
--- a/tests/standins/test_closing.py
+++ b/tests/standins/test_closing.py
@@ -11,7 +11,7 @@
 CLOSE_SECONDS = 0.3
 
 
-def test_close_does_not_close_sockets_in_use_by_the_server(deaths):
+def test_close_does_not_close_sockets_in_use_by_the_server(thread_exceptions):
     """Guard against a server thread that occasionally dies of "bad file descriptor".
 
     The server had collected its sockets for select() when the test closed them from
@@ -37,4 +37,4 @@
         closing.result(SECONDS)
     cluster._thread.join(SECONDS)
     assert not cluster._thread.is_alive()
-    assert deaths == []
+    assert thread_exceptions == []
--- a/tests/standins/test_machines.py
+++ b/tests/standins/test_machines.py
@@ -63,14 +63,16 @@
     assert list(cluster.machines.in_upkeep) == ["w1"]
 
 
-def test_machine_returns_with_a_new_worker(cluster, timers, deaths):
+def test_machine_returns_with_a_new_worker(cluster, timers, thread_exceptions):
     _begin_upkeep(cluster)
     timers[0].fire()
-    assert deaths == []
+    assert thread_exceptions == []
     assert (list(cluster.workers), cluster.machines.in_upkeep) == (["w1.2"], {})
 
 
-def test_machine_does_not_return_to_a_cluster_that_was_reset(cluster, timers, deaths):
+def test_machine_does_not_return_to_a_cluster_that_was_reset(
+    cluster, timers, thread_exceptions
+):
     """Guard against a thread of an earlier test that dies in a later one.
 
     The earlier test began an upkeep and ended, and the cluster was reset. When the
@@ -80,11 +82,13 @@
     _begin_upkeep(cluster)
     cluster.reset()
     timers[0].fire()
-    assert deaths == []
+    assert thread_exceptions == []
     assert cluster.workers == {}
 
 
-def test_return_from_before_a_reset_ends_no_upkeep_after_it(cluster, timers, deaths):
+def test_return_from_before_a_reset_ends_no_upkeep_after_it(
+    cluster, timers, thread_exceptions
+):
     """Guard against a machine that returns before the end of its upkeep.
 
     One test began an upkeep and ended; the next one began the upkeep of a machine of
@@ -94,11 +98,13 @@
     cluster.reset()
     _begin_upkeep(cluster)
     timers[0].fire()
-    assert deaths == []
+    assert thread_exceptions == []
     assert (list(cluster.workers), list(cluster.machines.in_upkeep)) == ([], ["w1"])
 
 
-def test_machine_does_not_return_to_a_cluster_that_was_closed(cluster, timers, deaths):
+def test_machine_does_not_return_to_a_cluster_that_was_closed(
+    cluster, timers, thread_exceptions
+):
     """Guard against a machine that returns after its test has ended.
 
     The cluster was closed while a machine was in upkeep, and the timer then added an
@@ -107,16 +113,16 @@
     _begin_upkeep(cluster)
     cluster.close()
     timers[0].fire()
-    assert deaths == []
+    assert thread_exceptions == []
     assert cluster.workers == {}
 
 
 def test_timer_that_has_fired_already_changes_no_closed_cluster(
-    cluster, timers, deaths
+    cluster, timers, thread_exceptions
 ):
     # The timer's thread waits for the lock that close() holds, so the cancel is late.
     _begin_upkeep(cluster)
     cluster.close()
     timers[0].run_now()
-    assert deaths == []
+    assert thread_exceptions == []
     assert cluster.workers == {}
