--- a/tests/standins/test_machines.py
+++ b/tests/standins/test_machines.py
@@ -9,7 +9,7 @@
 SECONDS = 10.0
 
 
-class HeldTimer(threading.Thread):
+class ManualTimer(threading.Thread):
     """Replace threading.Timer by a timer that fires when the test calls it."""
 
     def __init__(self, seconds, function, args):
@@ -40,7 +40,7 @@
     timers = []
 
     def create_timer(*arguments):
-        timers.append(HeldTimer(*arguments))
+        timers.append(ManualTimer(*arguments))
         return timers[-1]
 
     monkeypatch.setattr(threading, "Timer", create_timer)
