--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -18,7 +18,7 @@
 OK = "200 OK"
 CONFLICT = "409 Conflict"
 FAILED = "412 Precondition Failed"
-AWAY = "503 Service Unavailable"
+UNAVAILABLE = "503 Service Unavailable"
 MISDIRECTED = "421 Misdirected Request"
 ROWS_PER_PAGE = 500
 LEASE_LIMIT_MS = 6000
@@ -97,7 +97,7 @@
                 if rows or rest <= 0:
                     return OK, {"rows": rows, "ver": self.version, "now_ms": 0}
                 self.changed.wait(rest)
-        return AWAY, {}
+        return UNAVAILABLE, {}
 
     def forget_history(self):
         with self.changed:
@@ -397,7 +397,7 @@
             time.sleep(self.advice_seconds)
             return OK, {"good": [[one, "t-" + one] for one in body["workers"]]}
         if self.rows.is_down:
-            return AWAY, {}
+            return UNAVAILABLE, {}
         if path == "/rows-tx":
             found = self.rows.transact(body)
             if self.rows.answers_to_lose:
