--- a/tests/contracts/test_cluster.py
+++ b/tests/contracts/test_cluster.py
@@ -307,7 +307,7 @@
 
 def test_upkeep_begins_once_and_is_told_again(cluster, pool):
     cluster.add_worker("w1")
-    cluster.ask_for_wave(7, ["w1"])
+    cluster.request_wave(7, ["w1"])
     machines = MachineClient(cluster.address, pool)
     assert machines.begin_upkeep("m-w1", 7, "h1", 3) == UpkeepOutcome.BEGUN
     (found,) = machines.fetch()
@@ -331,7 +331,7 @@
     cluster.add_worker("w1")
     cluster.add_worker("w2")
     cluster.crash("w2")
-    cluster.ask_for_wave(7, ["w1", "w2"])
+    cluster.request_wave(7, ["w1", "w2"])
     machines = MachineClient(cluster.address, pool)
     # A newer owner has spoken of this machine.
     machines.begin_upkeep("m-w1", 99, "h2", 3)
--- a/tests/entry/test_processes.py
+++ b/tests/entry/test_processes.py
@@ -347,7 +347,7 @@
     """
     first = cell.hosts[0]
     assert _submit(first, IDS[0], job(tasks=4)) == 200
-    cluster.ask_for_wave(7, ["w1", "w2", "w3"])
+    cluster.request_wave(7, ["w1", "w2", "w3"])
     wait_for(lambda: len(cluster.machines.orders) == 1)
     assert cluster.wave_state(7) == "running"
     owner = cell.owner()
--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -356,7 +356,7 @@
         start_response(status, headers)
         return [data]
 
-    def ask_for_wave(self, number, names, seconds=30.0, at_once=1):
+    def request_wave(self, number, names, seconds=30.0, at_once=1):
         """Write the operator's request for the upkeep of the workers' machines."""
         machines = [machine_of(name) for name in names]
         self.machines.waves[number] = set(machines)
--- a/tests/standins/test_machines.py
+++ b/tests/standins/test_machines.py
@@ -57,7 +57,7 @@
 def _begin_upkeep(cluster):
     """Add a worker and begin the upkeep of its machine."""
     cluster.add_worker("w1")
-    cluster.ask_for_wave(7, ["w1"])
+    cluster.request_wave(7, ["w1"])
     order = {"machine": "m-w1", "wave": 7}
     assert cluster.machines.begin_upkeep(order, {}) == (OK, {})
     assert list(cluster.machines.in_upkeep) == ["w1"]
