--- a/tests/contracts/test_cluster.py
+++ b/tests/contracts/test_cluster.py
@@ -78,7 +78,7 @@
 def test_lost_history_is_told(cluster, store):
     first = store.transact([], [_write("a", {"n": 1})])
     store.transact([], [_write("a", {"n": 2})])
-    cluster.rows.forget_history()
+    cluster.rows.discard_history()
     with pytest.raises(HistoryLost):
         store.follow(TABLE, first, 0.1)
 
--- a/tests/entry/test_processes.py
+++ b/tests/entry/test_processes.py
@@ -314,7 +314,7 @@
 
 
 def test_lost_history_is_read_again(cluster, cell):
-    cluster.rows.forget_history()
+    cluster.rows.discard_history()
     assert _submit(cell.hosts[0], IDS[0], job(2)) == 200
     wait_for(_completed(cell.hosts[0], IDS[:1]))
 
--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -99,7 +99,7 @@
                 self.changed.wait(rest)
         return UNAVAILABLE, {}
 
-    def forget_history(self):
+    def discard_history(self):
         with self.changed:
             self.history = []
             self.oldest = self.version
