--- a/tests/entry/test_processes.py
+++ b/tests/entry/test_processes.py
@@ -272,7 +272,7 @@
     wait_for(_completed(cell.hosts[0], identifiers), 15)
     before = len([one for w in cluster.workers.values() for one in w.starts])
     for worker in cluster.workers.values():
-        worker.run_late()
+        worker.execute_delayed_starts()
     after = len([one for w in cluster.workers.values() for one in w.starts])
     assert after == before
     assert _runs_once(cluster)
--- a/tests/standins/cluster.py
+++ b/tests/standins/cluster.py
@@ -175,7 +175,7 @@
             return None
         return OK, self._body()
 
-    def run_late(self):
+    def execute_delayed_starts(self):
         """Execute the delayed start orders and return their answers."""
         with self.changed:
             late, self.late = self.late, []
