--- a/tests/entry/test_processes.py
+++ b/tests/entry/test_processes.py
@@ -356,7 +356,7 @@
     wait_for(lambda: cluster.wave_state(7) == "completed", seconds=20)
     machines = [machine for machine, *_ in cluster.machines.orders]
     assert sorted(machines) == ["m-w1", "m-w2", "m-w3"]
-    assert cluster.machines.most_away == 1
+    assert cluster.machines.max_in_upkeep == 1
     assert _submit(others[0], IDS[1], job(tasks=4)) == 200
     wait_for(_completed(others[1], IDS[:2]))
 
--- a/tests/standins/machines.py
+++ b/tests/standins/machines.py
@@ -18,7 +18,7 @@
     Attributes
     ----------
     orders : list of (machine, wave, holder, token)
-    most_away : int
+    max_in_upkeep : int
         Highest number of machines that were in upkeep at the same time.
     """
 
@@ -32,7 +32,7 @@
         # Machines of each requested wave, by its number.
         self.waves = {}
         self.orders = []
-        self.most_away = 0
+        self.max_in_upkeep = 0
         self._timers = []
         self._is_closed = False
 
@@ -99,7 +99,7 @@
     def _begin(self, name):
         worker = self._cluster.workers.pop(name)
         self.in_upkeep[name] = worker.capacity
-        self.most_away = max(self.most_away, len(self.in_upkeep))
+        self.max_in_upkeep = max(self.max_in_upkeep, len(self.in_upkeep))
         with worker.changed:
             worker.is_silent = True
             worker.running.clear()
