--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -6,7 +6,7 @@
 
 from papayapick.exceptions import PapayapickError
 from papayapick.placer.payloads import INLINE_BYTES
-from tests.failures.lives import (
+from tests.failures.simulation import (
     FAULTS,
     KILLED_AFTER,
     KILLED_BEFORE,
--- a/tests/failures/test_store_outage.py
+++ b/tests/failures/test_store_outage.py
@@ -6,8 +6,8 @@
 
 from demo.cells import Cell, http_call
 from papayapick.journal import JournalUnavailable, JournalUnsettled
-from tests.failures.lives import DOWN, SHARD
-from tests.failures.lives import Cell as PartsCell
+from tests.failures.simulation import DOWN, SHARD
+from tests.failures.simulation import Cell as PartsCell
 
 REQUESTS = "/v1/requests"
 URGENT = {"service": "quick-counts", "payload": {"n": 1}}
--- a/tests/failures/test_takeover.py
+++ b/tests/failures/test_takeover.py
@@ -8,7 +8,7 @@
 from papayapick.clients import PlatformError, StaleEpoch, WorkerClient
 from papayapick.ledger import Amounts
 from papayapick.ownership import read_shard
-from tests.failures.lives import DOWN, LATE, LOST, ONCE, SHARD, Cell, Life
+from tests.failures.simulation import DOWN, LATE, LOST, ONCE, SHARD, Cell, Life
 
 DEMAND = {"processors": 9000, "memory": 1024, "accelerators": 0}
 
--- a/tests/placer/test_work.py
+++ b/tests/placer/test_work.py
@@ -5,7 +5,7 @@
 from papayapick.journal import JournalUnsettled
 from papayapick.journal.work import RUNNING, WAITING
 from papayapick.placer.exceptions import PlacerError
-from tests.failures.lives import DEFERRED, DOWN, LATE, LOST, ONCE, SHARD, Cell
+from tests.failures.simulation import DEFERRED, DOWN, LATE, LOST, ONCE, SHARD, Cell
 
 ID = f"{SHARD}.k1"
 
