--- a/tests/failures/simulation.py
+++ b/tests/failures/simulation.py
@@ -130,8 +130,8 @@
 class DeskSlots:
     """Give slots straight from the shard's own desk."""
 
-    def __init__(self, life):
-        self._life = life
+    def __init__(self, placer):
+        self._life = placer
 
     def acquire(self, policy, request_id, wait_seconds):
         shard = self._life.shard
@@ -148,7 +148,7 @@
 
 
 class Cell:
-    """A platform, and the lives that follow one another on it."""
+    """A platform, and the placers that follow one another on it."""
 
     def __init__(self):
         document = json.loads((ROOT / "deploy/footfall/bundle.json").read_text())
@@ -156,27 +156,27 @@
         self.clock = ManualClock(1e6)
         self.platform = Platform(self.clock, service_seconds=0)
         self.platform.fill(self.bundle, URL)
-        self.lives = []
+        self.placers = []
 
     def __enter__(self):
         return self
 
     def __exit__(self, *ignored):
-        for life in self.lives:
-            life.end()
+        for placer in self.placers:
+            placer.end()
 
     def start(self, name, faults=None, shard=SHARD):
         """Start a life, let it take the shard, and arm its faults."""
-        life = Life(self, name)
-        self.lives.append(life)
-        life.take(shard, faults or {})
-        return life
+        placer = SimulatedPlacer(self, name)
+        self.placers.append(placer)
+        placer.take(shard, faults or {})
+        return placer
 
     def runs(self, request_id):
         return self.platform.instances.runs().get(request_id, 0)
 
 
-class Life:
+class SimulatedPlacer:
     """One process from its start to its death, stepped by the test."""
 
     def __init__(self, cell, name):
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -74,27 +74,27 @@
 
 def live_through(faults, size, second_faults=None):
     with Cell() as cell:
-        life = cell.start("placer-1", faults)
+        placer = cell.start("placer-1", faults)
         try:
-            answer = life.submit(ONCE, payload=PAYLOADS[size])
-            life.settle()
-            life.run_all()
+            answer = placer.submit(ONCE, payload=PAYLOADS[size])
+            placer.settle()
+            placer.run_all()
             outcome = heard(answer)
         except Killed:
             outcome = None
         except PapayapickError as error:
             outcome = getattr(error, "outcome", "unknown")
-        if life.pool.dead.is_set():
-            life.end()
-            life = cell.start("placer-2", second_faults)
-            life.run_all()
-        if life.pool.dead.is_set():
-            life.end()
-            life = cell.start("placer-3")
-            life.run_all()
-        life.settle()
-        check_truth(cell, f"{SHARD}.k1", outcome, life.shard.work_index)
-        return life
+        if placer.pool.dead.is_set():
+            placer.end()
+            placer = cell.start("placer-2", second_faults)
+            placer.run_all()
+        if placer.pool.dead.is_set():
+            placer.end()
+            placer = cell.start("placer-3")
+            placer.run_all()
+        placer.settle()
+        check_truth(cell, f"{SHARD}.k1", outcome, placer.shard.work_index)
+        return placer
 
 
 @pytest.mark.parametrize(("size", "steps"), STEPS.items())
--- a/tests/failures/test_store_outage.py
+++ b/tests/failures/test_store_outage.py
@@ -79,14 +79,14 @@
     Its outcome is kept, written once the table is back, and told then.
     """
     with PartsCell() as cell:
-        life = cell.start("placer-1", dict.fromkeys(range(4, 4 + tries), DOWN))
-        answer = life.submit()
-        life.settle()
-        life.run_next()
-        life.settle()
+        placer = cell.start("placer-1", dict.fromkeys(range(4, 4 + tries), DOWN))
+        answer = placer.submit()
+        placer.settle()
+        placer.run_next()
+        placer.settle()
         assert answer.result(5).outcome == "done"
         assert cell.runs(f"{SHARD}.k1") == 1
-        life.end()
+        placer.end()
         successor = cell.start("placer-2")
         assert successor.shard.work_index.get(f"{SHARD}.k1").ended.outcome == "done"
 
@@ -98,31 +98,31 @@
     in the journal once the table is back.
     """
     with PartsCell() as cell:
-        life = cell.start("placer-1", dict.fromkeys(range(2, 12), DOWN))
-        answer = life.submit()
-        life.settle()
-        item = life.shard.work_index.get(f"{SHARD}.k1")
-        assert isinstance(life.submit(key="k2").exception(5), JournalUnsettled)
+        placer = cell.start("placer-1", dict.fromkeys(range(2, 12), DOWN))
+        answer = placer.submit()
+        placer.settle()
+        item = placer.shard.work_index.get(f"{SHARD}.k1")
+        assert isinstance(placer.submit(key="k2").exception(5), JournalUnsettled)
         with pytest.raises(JournalUnavailable):
-            life.submit(key="k3")
-        life.runner.end(life.shard, item, "unknown")
-        life.settle()
+            placer.submit(key="k3")
+        placer.runner.end(placer.shard, item, "unknown")
+        placer.settle()
         assert answer.result(5).outcome == item.ended.outcome == "unknown"
 
 
 def test_hundreds_of_tries_share_segments_on_return():
     """The table comes back with 2,000 outcomes waiting: eight writes, no rush."""
     with PartsCell() as cell:
-        life = cell.start("placer-1")
+        placer = cell.start("placer-1")
         for number in range(2000):
-            life.submit(key=f"k{number}", wait=0)
-        life.settle()
+            placer.submit(key=f"k{number}", wait=0)
+        placer.settle()
         writes = cell.platform.table.writes
-        items = life.shard.work_index.items
-        with life.held():
+        items = placer.shard.work_index.items
+        with placer.held():
             for item in items:
-                life.runner.end(life.shard, item, "unknown")
-        life.settle()
+                placer.runner.end(placer.shard, item, "unknown")
+        placer.settle()
         assert all(item.ended for item in items)
         assert cell.platform.table.writes - writes <= 8 + 1
 
@@ -134,11 +134,11 @@
     caller was left to a timeout ("unknown") though nothing had been written.
     """
     with PartsCell() as cell:
-        life = cell.start("placer-1", dict.fromkeys(range(1, 12), DOWN))
-        life.pool.hold(1)
-        first = life.submit(key="k1")
-        life.pool.wait_for_operations(1)
-        second = life.submit(key="k2")
-        life.pool.let_go()
+        placer = cell.start("placer-1", dict.fromkeys(range(1, 12), DOWN))
+        placer.pool.hold(1)
+        first = placer.submit(key="k1")
+        placer.pool.wait_for_operations(1)
+        second = placer.submit(key="k2")
+        placer.pool.let_go()
         assert isinstance(first.exception(5), JournalUnsettled)
         assert isinstance(second.exception(5), JournalUnavailable)
--- a/tests/failures/test_takeover.py
+++ b/tests/failures/test_takeover.py
@@ -8,7 +8,15 @@
 from papayapick.clients import PlatformError, StaleEpoch, WorkerClient
 from papayapick.ledger import Amounts
 from papayapick.ownership import read_shard
-from tests.failures.simulation import DOWN, LATE, LOST, ONCE, SHARD, Cell, Life
+from tests.failures.simulation import (
+    DOWN,
+    LATE,
+    LOST,
+    ONCE,
+    SHARD,
+    Cell,
+    SimulatedPlacer,
+)
 
 DEMAND = {"processors": 9000, "memory": 1024, "accelerators": 0}
 
@@ -19,32 +27,32 @@
         yield cell
 
 
-def add_life(cell, name):
-    life = Life(cell, name)
-    cell.lives.append(life)
-    return life
+def add_placer(cell, name):
+    placer = SimulatedPlacer(cell, name)
+    cell.placers.append(placer)
+    return placer
 
 
-def entry_of(life, kind):
+def entry_of(placer, kind):
     return next(
         entry
-        for entry in life.process.peers.entries
-        if entry.kind == kind and entry.name in life.shard.entries
+        for entry in placer.process.peers.entries
+        if entry.kind == kind and entry.name in placer.shard.entries
     )
 
 
 def test_one_of_many_takeovers_wins(cell):
     """Six placers see a dead owner at the same moment and all claim its shard."""
-    lives = [add_life(cell, f"placer-{number}") for number in range(6)]
-    row = read_shard(lives[0].process.table, SHARD)
-    together = threading.Barrier(len(lives))
+    placers = [add_placer(cell, f"placer-{number}") for number in range(6)]
+    row = read_shard(placers[0].process.table, SHARD)
+    together = threading.Barrier(len(placers))
 
-    def take(life):
+    def take(placer):
         together.wait()
-        return life.owner.take_over(row)
+        return placer.owner.take_over(row)
 
-    with ThreadPoolExecutor(len(lives)) as executor:
-        taken = [shard for shard in executor.map(take, lives) if shard is not None]
+    with ThreadPoolExecutor(len(placers)) as executor:
+        taken = [shard for shard in executor.map(take, placers) if shard is not None]
     assert [shard.epoch for shard in taken] == [1]
 
 
@@ -54,13 +62,13 @@
     Both found the shard free; two journals at one epoch would write the same
     segments, and each would take the other for a newer owner.
     """
-    life = add_life(cell, "placer-1")
-    row = read_shard(life.process.table, SHARD)
+    placer = add_placer(cell, "placer-1")
+    row = read_shard(placer.process.table, SHARD)
     cell.platform.board.set("objects", "down")
     with ThreadPoolExecutor(8) as executor:
-        taken = list(executor.map(lambda _: life.owner.take_over(row), range(8)))
+        taken = list(executor.map(lambda _: placer.owner.take_over(row), range(8)))
     assert len([shard for shard in taken if shard is not None]) == 1
-    assert len(life.owner.shards) == 1
+    assert len(placer.owner.shards) == 1
 
 
 @pytest.mark.parametrize("fault", [DOWN, LOST, LATE])
@@ -71,20 +79,20 @@
     At any epoch one placer at most may serve the shard, and its journal takes
     what it writes.
     """
-    lives = [add_life(cell, f"placer-{number}") for number in range(2)]
-    lives[0].pool.arm({1: fault, 2: second})
+    placers = [add_placer(cell, f"placer-{number}") for number in range(2)]
+    placers[0].pool.arm({1: fault, 2: second})
     served = []
     for _ in range(3):
-        for life in lives:
+        for placer in placers:
             try:
-                row = read_shard(life.process.table, SHARD)
-                shard = life.owner.take_over(row)
+                row = read_shard(placer.process.table, SHARD)
+                shard = placer.owner.take_over(row)
             except PlatformError:
                 continue
             served += [shard] if shard is not None else []
     epochs = [shard.epoch for shard in served]
     assert len(set(epochs)) == len(epochs) >= 1
-    last = read_shard(lives[1].process.table, SHARD)
+    last = read_shard(placers[1].process.table, SHARD)
     assert last.epoch == max(epochs)
 
 
@@ -99,19 +107,19 @@
         before.settle()
     before.shard.journal.compact(before.process.objects, records_of(before))
     before.end()
-    life = add_life(cell, "placer-2")
+    placer = add_placer(cell, "placer-2")
     cell.platform.board.set("objects", "down")
     for _ in range(5):
         with pytest.raises(PlatformError):
-            life.owner.take_over(read_shard(life.process.table, SHARD))
+            placer.owner.take_over(read_shard(placer.process.table, SHARD))
     cell.platform.board.clear("objects")
-    shard = life.owner.take_over(read_shard(life.process.table, SHARD))
+    shard = placer.owner.take_over(read_shard(placer.process.table, SHARD))
     assert shard.epoch == before.shard.epoch + 1
     assert len(shard.work_index) == 70
 
 
-def records_of(life):
-    return [one for item in life.shard.work_index.items for one in item.records()]
+def records_of(placer):
+    return [one for item in placer.shard.work_index.items for one in item.records()]
 
 
 def test_worker_that_cannot_be_reached_counts_as_full(cell):
@@ -126,12 +134,12 @@
     client.start(worker, first.shard.epoch, "t.1", DEMAND, 1e6, {"run_seconds": 1e6})
     first.end()
     cell.platform.board.set(worker.name, "down")
-    life = cell.start("placer-2")
-    hosts = life.shard.hosts
+    placer = cell.start("placer-2")
+    hosts = placer.shard.hosts
     assert not hosts.is_open(worker.name)
     assert hosts.free(worker.name).processors == 0
     cell.platform.board.clear(worker.name)
-    life.refresh()
+    placer.refresh()
     assert hosts.is_open(worker.name)
     assert hosts.free(worker.name) == hosts.capacity(
         worker.name
@@ -169,8 +177,8 @@
     standin = cell.platform.instances._instances[instance.name]
     standin.running.update({f"r{number}": 1 for number in range(8)})
     first.end()
-    life = cell.start("placer-2")
-    busy = life.shard.slot_allocator.with_ledger(
+    placer = cell.start("placer-2")
+    busy = placer.shard.slot_allocator.with_ledger(
         lambda ledger: ledger.busy(instance.name)
     )
     assert busy == 8
