--- a/tests/entry/test_processes.py
+++ b/tests/entry/test_processes.py
@@ -272,7 +272,7 @@
     wait_for(_completed(cell.hosts[0], identifiers), 15)
     before = len([one for w in cluster.workers.values() for one in w.starts])
     for worker in cluster.workers.values():
-        worker.run_late()
+        worker.execute_delayed_starts()
     after = len([one for w in cluster.workers.values() for one in w.starts])
     assert after == before
     assert _runs_once(cluster)
@@ -314,7 +314,7 @@
 
 
 def test_lost_history_is_read_again(cluster, cell):
-    cluster.rows.forget_history()
+    cluster.rows.discard_history()
     assert _submit(cell.hosts[0], IDS[0], job(2)) == 200
     wait_for(_completed(cell.hosts[0], IDS[:1]))
 
@@ -347,7 +347,7 @@
     """
     first = cell.hosts[0]
     assert _submit(first, IDS[0], job(tasks=4)) == 200
-    cluster.ask_for_wave(7, ["w1", "w2", "w3"])
+    cluster.request_wave(7, ["w1", "w2", "w3"])
     wait_for(lambda: len(cluster.machines.orders) == 1)
     assert cluster.wave_state(7) == "running"
     owner = cell.owner()
@@ -356,7 +356,7 @@
     wait_for(lambda: cluster.wave_state(7) == "completed", seconds=20)
     machines = [machine for machine, *_ in cluster.machines.orders]
     assert sorted(machines) == ["m-w1", "m-w2", "m-w3"]
-    assert cluster.machines.most_away == 1
+    assert cluster.machines.max_in_upkeep == 1
     assert _submit(others[0], IDS[1], job(tasks=4)) == 200
     wait_for(_completed(others[1], IDS[:2]))
 
