--- a/papayapick/bundle/commands.py
+++ b/papayapick/bundle/commands.py
@@ -16,7 +16,7 @@
 )
 from papayapick.bundle.topology import check_topology_unchanged
 from papayapick.clients import Condition, TransactionConflict, Write
-from papayapick.clients.transactions import transact_with_retry
+from papayapick.clients.commands import transact_with_retry
 
 __all__ = ["accept", "acknowledge", "propose"]
 
--- a/papayapick/ownership/commands.py
+++ b/papayapick/ownership/commands.py
@@ -1,7 +1,7 @@
 """Claim and release shards by compare-and-set."""
 
 from papayapick.clients import Condition, TransactionConflict, Write
-from papayapick.clients.transactions import transact_with_retry
+from papayapick.clients.commands import transact_with_retry
 from papayapick.ownership.exceptions import TakeoverLost
 from papayapick.ownership.queries import ShardRow, read_shard
 
--- a/tests/contracts/test_store.py
+++ b/tests/contracts/test_store.py
@@ -20,7 +20,7 @@
     TransactionConflict,
     Write,
 )
-from papayapick.clients.transactions import transact_with_retry
+from papayapick.clients.commands import transact_with_retry
 from papayapick.listening import create_listener
 from tests.standins.server import Platform
 
