--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -14,14 +14,14 @@
 from papayapick.bundle import Bundle, Envelope, KeyRing, generate_key, sign
 from papayapick.clients import HostEntry
 from papayapick.clock import ManualClock
-from papayapick.journal import Accepted, Ended, Journal, Started, WorkBook
+from papayapick.journal import Accepted, Ended, Journal, Started, WorkIndex
 from papayapick.ledger import Amounts, HostLedger, SlotLedger
 from papayapick.limits import TokenBucket
 from papayapick.ownership.queries import ShardRow
 from papayapick.placement import PowerOfTwo
 from papayapick.placer.listing import HostListing
 from papayapick.placer.slots import SlotAllocator
-from papayapick.quotas import QuotaBook
+from papayapick.quotas import QuotaTracker
 from papayapick.wire.messages import SlotRequest
 
 SEED = 7
@@ -86,7 +86,7 @@
 
     def step(number):
         demand = demands[number]
-        name = ledger.tightest(demand)
+        name = ledger.best_fit(demand)
         if name is not None:
             ledger.reserve(name, number, demand)
             ledger.release(number)
@@ -152,10 +152,10 @@
         )
     del records
     tracemalloc.start()
-    book, before = WorkBook(), _held()
+    work_index, before = WorkIndex(), _held()
     for number in range(5000):
         for record in _records(number):
-            book.apply(record)
+            work_index.apply(record)
     per_item = (_held() - before) / 5000
     tracemalloc.stop()
     yield _row(
@@ -290,18 +290,18 @@
     teams = {f"team-{n}": {"processors": 1000 * n} for n in range(TEAMS)}
     tracemalloc.start()
     before = _held()
-    book = QuotaBook()
-    book.use("digest", teams, 52)
+    tracker = QuotaTracker()
+    tracker.set_quotas("digest", teams, 52)
     for name in teams:
-        book.start(name, DEMAND, 1)
+        tracker.add_usage(name, DEMAND, 1)
     per_team = (_held() - before) / TEAMS
     tracemalloc.stop()
 
     def use(number):
-        book.use(f"digest-{number}", teams, 52)
+        tracker.set_quotas(f"digest-{number}", teams, 52)
 
     def ask(number):
-        book.borrows(f"team-{number % TEAMS}", DEMAND, 3)
+        tracker.would_borrow(f"team-{number % TEAMS}", DEMAND, 3)
 
     size = f"{TEAMS} teams"
     yield _row("quotas, a team", per_team, "bytes", size)
--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -199,20 +199,22 @@
         settings = SimpleNamespace(
             availability_zone=zone, region=ZONES[zone], grant_seconds=0.5
         )
-        peers = SimpleNamespace(serving=lambda: self.serving)
+        peers = SimpleNamespace(shard_owners=lambda: self.shard_owners)
         draw = random.Random(self.draw.random())
         return SlotClient(peers, settings, self.clock, draw, lambda: ZONES)
 
     def _beat(self):
         now = self.clock.monotonic()
-        self.serving = {}
+        self.shard_owners = {}
         for zone, peer in self.peers.items():
             if not self.is_gone(zone):
-                peer.last_heard = now
+                peer.last_heartbeat_at = now
                 loads = self.desks[zone].loads()
-                peer.heard = ShardSummary(shard=f"{zone}.0", epoch=1, loads=loads)
-            if now - peer.last_heard <= 3.0:
-                self.serving[f"{zone}.0"] = (peer, peer.heard)
+                peer.last_heartbeat = ShardSummary(
+                    shard=f"{zone}.0", epoch=1, loads=loads
+                )
+            if now - peer.last_heartbeat_at <= 3.0:
+                self.shard_owners[f"{zone}.0"] = (peer, peer.last_heartbeat)
 
     def _expire(self):
         for desk in self.desks.values():
@@ -278,8 +280,8 @@
         request.avoid.append(name)
         seconds, outcome = self._service(name)
         limit = request.deadline - now
-        if request.tries == 1 and self.budgets.of("counts").has_retry:
-            limit = self.timeouts.first_try("counts", limit)
+        if request.tries == 1 and self.budgets.of("counts").can_retry:
+            limit = self.timeouts.first_attempt_seconds("counts", limit)
         if seconds <= limit:
             self.running[name].add(request_id)
             self.events.after(seconds, self.running[name].discard, request_id)
--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -72,7 +72,7 @@
         Bundles of other cells are rejected.
     on_change : callable, optional
         Called with the new bundle once it is in force.
-    pauses : PauseGuard, optional
+    pauses : PauseDetector, optional
         After a pause, the bundle is unconfirmed until the head has been read again.
     """
 
--- a/papayapick/checks/__init__.py
+++ b/papayapick/checks/__init__.py
@@ -1,4 +1,4 @@
-"""System checks with ids and hints, a module for each concern."""
+"""System checks, whose findings have an id and a hint; one module per concern."""
 
 from papayapick.checks import (
     bundles,
@@ -9,13 +9,13 @@
     processes,
     settings,
 )
+from papayapick.checks.context import CheckContext
 from papayapick.checks.findings import Finding
 from papayapick.checks.queries import register, run_checks
-from papayapick.checks.surroundings import Surroundings
 
 __all__ = [
     "Finding",
-    "Surroundings",
+    "CheckContext",
     "bundles",
     "deployment",
     "keys",
--- a/papayapick/daemon/process.py
+++ b/papayapick/daemon/process.py
@@ -8,8 +8,8 @@
 from papayapick.clients import HostList, HttpPool, ObjectStore, Table
 from papayapick.clients.exceptions import PlatformError, TableUnavailable
 from papayapick.clock import SystemClock
-from papayapick.limits import PauseGuard
-from papayapick.membership import LookGate, Peers
+from papayapick.limits import PauseDetector
+from papayapick.membership import Peers, PollGate
 from papayapick.observability import (
     Metrics,
     Tracing,
@@ -79,7 +79,7 @@
         self._handler = handler
         self._heartbeat_shards = heartbeat_shards
         self._stop_event = threading.Event()
-        self.pauses = PauseGuard(self.clock, settings.pause_seconds)
+        self.pauses = PauseDetector(self.clock, settings.pause_seconds)
         self.platform_pool = HttpPool(settings.platform_timeout_seconds)
         self.table = Table(
             settings.table_url, self.platform_pool, self._count_table_operation
@@ -167,11 +167,11 @@
             (self.heartbeat, self.watcher.handle_peer_head, self.watcher.count_pauses),
         )
         self.peers.use_store_region(self._store_region)
-        self._head_gate = LookGate(self.clock, self.has_store_contact)
+        self._head_gate = PollGate(self.clock, self.has_store_contact)
 
     def has_store_contact(self):
         """Return whether the store is in another region with a known live placer."""
-        return self.peers.hears(self._store_region())
+        return self.peers.has_live_peer_in(self._store_region())
 
     def _store_region(self):
         if not self.watcher.sequence:
--- a/papayapick/gateway/application.py
+++ b/papayapick/gateway/application.py
@@ -1,4 +1,4 @@
-"""Answer callers over HTTP as a WSGI application."""
+"""Serve callers over HTTP as a WSGI application."""
 
 import http.client
 import threading
@@ -58,61 +58,61 @@
         return self._in_flight
 
     def is_ready(self):
-        """Return whether the balancer may send callers here."""
+        """Return whether the load balancer may send requests to this gateway."""
         return bool(self._process.watcher.sequence) and not self._process.is_draining
 
     def __call__(self, environ, start_response):
-        """Answer one request as WSGI demands."""
-        found = health_response(environ["PATH_INFO"], self._process, self.is_ready)
-        if found is not None:
-            status, kind, body = found
+        """Answer one WSGI request."""
+        health = health_response(environ["PATH_INFO"], self._process, self.is_ready)
+        if health is not None:
+            status, kind, body = health
             return self._send(start_response, status, Answer(200, kind, body))
         if is_refused(environ):
             return self._refuse(start_response)
         with self._lock:
             self._in_flight += 1
         try:
-            answer = self._traced(environ)
+            answer = self._answer_traced(environ)
         finally:
             with self._lock:
                 self._in_flight -= 1
         return self._send(start_response, _status_line(answer), answer)
 
     def _refuse(self, start_response):
-        # Neither span nor access line: a flood must cost little to refuse.
+        # No span and no access log entry: refusing excess requests must be cheap.
         spread = 1 + self._process.generator.random()
         error = GatewayFull(retry_after=_FULL_RETRY_SECONDS * spread)
         self._process.metrics.refusals.labels(error.code).inc()
         answer = problem(error, uuid.uuid4().hex)
         return self._send(start_response, _status_line(answer), answer)
 
-    def _traced(self, environ):
+    def _answer_traced(self, environ):
         process = self._process
         traceparent = environ.get("HTTP_TRACEPARENT", "")
         request_id = uuid.uuid4().hex
-        began = self._access.start()
+        started_at = self._access.start()
         with (
-            process.tracing.span("gateway.request", traceparent) as hop,
+            process.tracing.span("gateway.request", traceparent) as request_span,
             log_fields(request_id=request_id, bundle_sequence=process.watcher.sequence),
         ):
-            answer = self._answer(environ, request_id, hop)
+            answer = self._answer(environ, request_id, request_span)
             answer.headers.append(("Trace-Id", process.tracing.trace_id()))
             method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
-            self._access.write(began, method, path, answer.status, answer.outcome)
+            self._access.write(started_at, method, path, answer.status, answer.outcome)
             return answer
 
-    def _answer(self, environ, request_id, hop):
+    def _answer(self, environ, request_id, request_span):
         try:
             return self._route(environ)
         except PapayapickError as error:
             answer = problem(error, request_id, _fallback_outcome(error))
             self._process.metrics.refusals.labels(error.code).inc()
-            hop.fail(error.code, answer.outcome)
+            request_span.fail(error.code, answer.outcome)
         except Exception:
             _LOG.exception("request failed")
             error = PapayapickError()
             answer = problem(error, request_id, _UNKNOWN)
-            hop.fail(error.code, answer.outcome)
+            request_span.fail(error.code, answer.outcome)
         return answer
 
     def _route(self, environ):
@@ -136,7 +136,7 @@
         if admitted.shard:
             note_fields(shard=admitted.shard)
         self._limits.admit(admitted.caller)
-        self._count_waiting(environ, admitted)
+        self._deduct_queue_time(environ, admitted)
         if admitted.is_durable:
             is_keyed = bool(environ.get("HTTP_IDEMPOTENCY_KEY"))
             answer = self._durable.submit(admitted, is_keyed)
@@ -146,18 +146,18 @@
         process.metrics.requests.labels(admitted.name, answer.outcome).inc()
         return answer
 
-    def _count_waiting(self, environ, admitted):
-        """Take the wait for a thread off the time that the caller allows."""
+    def _deduct_queue_time(self, environ, admitted):
+        """Subtract the wait for a thread from the request's timeout."""
         now = self._process.clock.monotonic()
         admitted.timeout -= now - arrived_at(environ, now)
         if admitted.timeout <= 0:
             raise DeadlinePast()
 
     def _confirm_bundle(self):
-        """Look at the bundle's head again after a pause.
+        """Read the bundle's head again after a pause of the process.
 
-        A process frozen through a roll would otherwise admit work under the
-        bundle that was replaced.
+        A process that was paused during a roll would otherwise admit work under
+        the replaced bundle.
         """
         watcher = self._process.watcher
         if not watcher.is_confirmed:
@@ -181,9 +181,9 @@
 
 
 def _fallback_outcome(error):
-    """Return what became of work whose error does not say it.
+    """Return the outcome of work whose error does not state it.
 
-    A broken or silent connection to a placer leaves submitted work open.
+    After a lost connection or a timeout the placer may have accepted the work.
     """
     if isinstance(error, (PeerDisconnected, PeerTimeout)):
         return _UNKNOWN
--- a/papayapick/gateway/process.py
+++ b/papayapick/gateway/process.py
@@ -1,4 +1,4 @@
-"""Run the gateway: listen to callers, and to peers."""
+"""Run the gateway process, which listens for callers and peers."""
 
 import logging
 import threading
@@ -22,13 +22,13 @@
 _CALL_SECONDS = 30.0
 _HEADER_LIMIT_BYTES = 32 << 10
 _CONNECTION_LIMIT = 1000
-_IDLE_SECONDS = 30
-_QUIET_SECONDS = 0.2
-_LOOK_SECONDS = 0.05
+_CHANNEL_TIMEOUT_SECONDS = 30
+_IDLE_BEFORE_CLOSE_SECONDS = 0.2
+_POLL_SECONDS = 0.05
 
 
 class Gateway:
-    """Serve callers.
+    """Serve callers over HTTP.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
         )
         durable = DurableWork(process)
         self._application = Application(process, urgent, durable, self._limits)
-        self._server = self._listen(settings)
+        self._server = self._create_server(settings)
 
     @classmethod
     def from_config(cls, settings):
@@ -68,7 +68,7 @@
         return self._application
 
     def addresses(self):
-        """Return what the process listens on, for its log."""
+        """Return the addresses that the process listens on, for its log."""
         host, port = self._process.peer_server.address
         server = self._server
         return {
@@ -77,51 +77,52 @@
         }
 
     def start(self):
-        """Start every task."""
+        """Start all tasks."""
         self._process.start()
         self._process.executor.submit(self._server.run)
 
     def stop(self):
-        """Let every request in flight get its whole answer, then close.
+        """Complete the answers to all requests in flight, then close.
 
-        The balancer sees ``/readyz`` fail and sends no more; what it still
-        sends meanwhile is served.
+        ``/readyz`` fails, so the load balancer stops sending requests. Requests that
+        it still sends are served.
         """
         process = self._process
         process.is_draining = True
         deadline = process.clock.monotonic() + process.settings.drain_seconds
-        quiet_since = None
+        idle_since = None
         while process.clock.monotonic() < deadline:
             now = process.clock.monotonic()
-            if not self._is_quiet():
-                quiet_since = None
-            elif quiet_since is None:
-                quiet_since = now
-            elif now - quiet_since >= _QUIET_SECONDS:
+            if not self._is_idle():
+                idle_since = None
+            elif idle_since is None:
+                idle_since = now
+            elif now - idle_since >= _IDLE_BEFORE_CLOSE_SECONDS:
                 break
-            process.clock.wait(threading.Event(), _LOOK_SECONDS)
+            process.clock.wait(threading.Event(), _POLL_SECONDS)
         self._server.close()
         process.close()
 
     def _live_gateways(self):
         entries = self._process.peers.entries
-        return sum(found.kind == GATEWAY_KIND and found.is_live for found in entries)
+        return sum(entry.kind == GATEWAY_KIND and entry.is_live for entry in entries)
 
-    def _is_quiet(self):
-        # An answer that a slow caller has not read yet lies in its channel.
+    def _is_idle(self):
+        # The channel buffers an answer that a slow caller has not read completely.
         channels = list(self._server.active_channels.values())
         return not self._application.in_flight and all(
             not channel.requests and not channel.total_outbufs_len
             for channel in channels
         )
 
-    def _listen(self, settings):
+    def _create_server(self, settings):
         logging.getLogger("waitress").setLevel(logging.ERROR)
         host, port = settings.listen_http
         dispatcher = BoundedDispatcher(settings.http_waiting, self._process.clock)
         dispatcher.set_thread_count(settings.http_threads)
-        # The server takes another dispatcher by this argument only; the version is
-        # pinned, and tests/gateway/test_dispatcher.py tells when it goes.
+        # waitress accepts a custom dispatcher only in this private argument. Its
+        # version is pinned, and tests/gateway/test_dispatcher.py fails if a new
+        # version has no such argument.
         return create_listener(
             self._application,
             host=host,
@@ -129,7 +130,7 @@
             threads=settings.http_threads,
             _dispatcher=dispatcher,
             connection_limit=_CONNECTION_LIMIT,
-            channel_timeout=_IDLE_SECONDS,
+            channel_timeout=_CHANNEL_TIMEOUT_SECONDS,
             max_request_header_size=_HEADER_LIMIT_BYTES,
             max_request_body_size=settings.body_limit_bytes + 1024,
             ident=None,
--- a/papayapick/gateway/urgent.py
+++ b/papayapick/gateway/urgent.py
@@ -1,4 +1,4 @@
-"""Serve urgent repeatable requests: a slot, a call, the whole answer."""
+"""Serve urgent repeatable requests by calling backend servers directly."""
 
 from papayapick.clients import (
     AnswerInvalid,
@@ -12,26 +12,26 @@
 from papayapick.gateway.problems import Answer
 from papayapick.observability import note_fields
 from papayapick.routing import (
-    DeadlineOver,
+    DeadlineExceeded,
     GrantExpired,
+    NoPlacerAnswer,
     NoRoute,
-    PlacerSilent,
-    has_moved,
+    indicates_new_owner,
 )
 from papayapick.wire import PeerRefused
 
 __all__ = ["UrgentCalls"]
 
 _SERVER_ERROR = 500
-_SLOT_TRIES = 4
-_MOVED_WAIT_SECONDS = 0.02
+_SLOT_ATTEMPTS = 4
+_NEW_OWNER_RETRY_SECONDS = 0.02
 _SLOT_SHARE = 0.8
 DONE, LEAVING, FAILED = "done", "leaving", "failed"
 UNKNOWN, UNUSED, STALE = "unknown", "unused", "stale"
 
 
-class _Attempts:
-    """Hold what stays the same over the tries of one request."""
+class _RequestState:
+    """Hold the state that the attempts of one request share."""
 
     __slots__ = ("admitted", "arrived", "avoid", "deadline", "error", "may_have_run")
 
@@ -66,11 +66,11 @@
         self._timeouts = timeouts
 
     def serve(self, admitted):
-        """Return the whole answer to one request.
+        """Return the complete answer to one request.
 
         Parameters
         ----------
-        admitted : Admitted
+        admitted : AdmittedRequest
 
         Returns
         -------
@@ -79,87 +79,87 @@
         Raises
         ------
         PapayapickError
-            ``outcome`` tells what became of the work.
+            Its ``outcome`` states the outcome of the work.
         """
         clock = self._process.clock
-        attempts = _Attempts(admitted, clock.monotonic())
+        state = _RequestState(admitted, clock.monotonic())
         budget = self._budgets.of(admitted.name)
         budget.earn()
         retries = admitted.policy.retries
-        number = moves = 0
+        retries_used = void_slots = 0
         while True:
-            is_last = number == retries or not budget.has_retry
+            is_last = retries_used == retries or not budget.can_retry
             try:
-                return self._attempt(attempts, is_last)
+                return self._attempt(state, is_last)
             except (StaleEpoch, GrantExpired) as error:
-                # The slot was void, so this was no try. While a shard changes
-                # hands many requests meet that at once, and would use up the
-                # budget of retries.
-                self._note_error(attempts, error)
-                moves += 1
-                if self._may_move(attempts, moves):
+                # The slot was void, so this is not counted as an attempt. It
+                # happens to many requests at once while a shard changes its
+                # owner, and would exhaust the retry budget.
+                self._note_error(state, error)
+                void_slots += 1
+                if self._may_replace_slot(state, void_slots):
                     continue
                 break
             except NotSent as error:
-                self._note_error(attempts, error)
+                self._note_error(state, error)
             except (AnswerMissing, AnswerInvalid) as error:
                 missing = CallAnswerMissing()
                 missing.__cause__ = error
-                attempts.may_have_run = True
-                self._note_error(attempts, missing)
+                state.may_have_run = True
+                self._note_error(state, missing)
             except BackendFailed as error:
-                attempts.may_have_run = True
-                self._note_error(attempts, error)
+                state.may_have_run = True
+                self._note_error(state, error)
             except PapayapickError as error:
-                # No slot for this try; what an earlier one did still stands.
-                self._note_error(attempts, error)
+                # No slot for this attempt; the effect of earlier ones remains.
+                self._note_error(state, error)
                 break
-            if attempts.may_have_run and not admitted.policy.repeatable:
+            if state.may_have_run and not admitted.policy.repeatable:
                 break
-            if number == retries or clock.monotonic() >= attempts.deadline:
+            if retries_used == retries or clock.monotonic() >= state.deadline:
                 break
             if not budget.spend():
                 break
-            number += 1
-        raise attempts.error
+            retries_used += 1
+        raise state.error
 
-    def _may_move(self, attempts, moves):
+    def _may_replace_slot(self, state, void_slots):
         clock = self._process.clock
-        clock.wait(self._process.stop_event, _MOVED_WAIT_SECONDS)
-        return moves < _SLOT_TRIES and clock.monotonic() < attempts.deadline
+        clock.wait(self._process.stop_event, _NEW_OWNER_RETRY_SECONDS)
+        return void_slots < _SLOT_ATTEMPTS and clock.monotonic() < state.deadline
 
     @staticmethod
-    def _note_error(attempts, error):
-        """Keep the error that tells the caller the truth.
+    def _note_error(state, error):
+        """Keep the error whose outcome holds for all attempts together.
 
-        A later try that was not sent must not turn into "not run" what an
-        earlier try may have run.
+        A later attempt that was not sent must not cause the outcome "not run" for
+        work that an earlier attempt may have run.
         """
-        kept = attempts.error
-        if kept is not None and getattr(kept, "outcome", "") == UNKNOWN:
+        previous = state.error
+        if previous is not None and getattr(previous, "outcome", "") == UNKNOWN:
             return
         outcome = getattr(error, "outcome", "not_run")
-        if kept is None or outcome in (UNKNOWN, FAILED) or not attempts.may_have_run:
-            attempts.error = error
+        if previous is None or outcome in (UNKNOWN, FAILED) or not state.may_have_run:
+            state.error = error
 
-    def _attempt(self, attempts, is_last):
-        admitted = attempts.admitted
+    def _attempt(self, state, is_last):
+        admitted = state.admitted
         tracing = self._process.tracing
         with tracing.span("gateway.slot"):
-            grant = self._slot(attempts)
+            grant = self._acquire_slot(state)
         note_fields(shard=grant.granted.shard, epoch=grant.granted.epoch)
         clock = self._process.clock
-        began = clock.monotonic()
+        started_at = clock.monotonic()
         self._process.metrics.wait_seconds.labels(admitted.name).observe(
-            began - attempts.arrived
+            started_at - state.arrived
         )
         outcome = UNUSED
         try:
-            grant.check_usable(began)
-            if began >= attempts.deadline:
-                raise DeadlineOver(service=admitted.name)
-            attempts.avoid.append(grant.granted.instance)
-            seconds = self._seconds(attempts, is_last, began)
+            grant.check_usable(started_at)
+            if started_at >= state.deadline:
+                raise DeadlineExceeded(service=admitted.name)
+            state.avoid.append(grant.granted.instance)
+            seconds = self._attempt_seconds(state, is_last, started_at)
             with tracing.span("gateway.call"):
                 outcome, answer = self._call(grant.granted, admitted, seconds)
         except (NotSent, BackendFailed):
@@ -169,13 +169,13 @@
             outcome = STALE
             raise
         except (AnswerMissing, AnswerInvalid):
-            # The backend server may still run it: the slot is not free yet.
+            # The backend server may still run the call: the slot is not free yet.
             outcome = UNKNOWN
-            self._timeouts.observe(admitted.name, clock.monotonic() - began)
+            self._timeouts.observe(admitted.name, clock.monotonic() - started_at)
             raise
         finally:
-            self._slots.release(grant, outcome, clock.monotonic() - began)
-        self._timeouts.observe(admitted.name, clock.monotonic() - began)
+            self._slots.release(grant, outcome, clock.monotonic() - started_at)
+        self._timeouts.observe(admitted.name, clock.monotonic() - started_at)
         if answer.status >= _SERVER_ERROR:
             raise BackendFailed(status=answer.status)
         kind = answer.headers.get("Content-Type", "application/octet-stream")
@@ -189,7 +189,7 @@
             admitted.payload,
             seconds,
             self._process.tracing.traceparent(),
-            once=False,
+            fresh=False,
         )
         if is_leaving(answer):
             return LEAVING, answer
@@ -197,46 +197,46 @@
             raise BackendFailed(status=answer.status)
         return DONE, answer
 
-    def _seconds(self, attempts, is_last, now):
-        """Return how long one try may take.
+    def _attempt_seconds(self, state, is_last, now):
+        """Return how long one attempt may take.
 
-        A try is cut short only where another may follow: without a retry left,
-        a slow answer is still better than none.
+        An attempt gets a shorter time limit only if another may follow: without
+        a retry left, a slow answer is better than none.
         """
-        policy = attempts.admitted.policy
-        rest = min(attempts.deadline - now, policy.run_seconds)
+        policy = state.admitted.policy
+        remaining = min(state.deadline - now, policy.run_seconds)
         if is_last or not policy.repeatable:
-            return rest
-        return self._timeouts.first_try(policy.name, rest)
+            return remaining
+        return self._timeouts.first_attempt_seconds(policy.name, remaining)
 
-    def _slot(self, attempts):
-        admitted = attempts.admitted
+    def _acquire_slot(self, state):
+        admitted = state.admitted
         clock = self._process.clock
-        for number in range(_SLOT_TRIES):
-            rest = attempts.deadline - clock.monotonic()
+        for attempt in range(_SLOT_ATTEMPTS):
+            remaining = state.deadline - clock.monotonic()
             try:
                 return self._slots.acquire(
                     admitted.policy,
                     admitted.request_id,
-                    self._wait_seconds(admitted.name, rest),
+                    self._slot_wait_seconds(admitted.name, remaining),
                     admitted.caller,
-                    attempts.avoid,
+                    state.avoid,
                     self._process.tracing.traceparent(),
                 )
-            except (PeerRefused, NoRoute, PlacerSilent) as error:
+            except (PeerRefused, NoRoute, NoPlacerAnswer) as error:
                 is_refusal = isinstance(error, PeerRefused)
-                if is_refusal and not has_moved(error):
+                if is_refusal and not indicates_new_owner(error):
                     raise
-                if number + 1 == _SLOT_TRIES:
+                if attempt + 1 == _SLOT_ATTEMPTS:
                     raise
-            clock.wait(self._process.stop_event, _MOVED_WAIT_SECONDS)
-            if clock.monotonic() >= attempts.deadline:
+            clock.wait(self._process.stop_event, _NEW_OWNER_RETRY_SECONDS)
+            if clock.monotonic() >= state.deadline:
                 break
-        raise DeadlineOver(service=admitted.name)
+        raise DeadlineExceeded(service=admitted.name)
 
-    def _wait_seconds(self, service, rest):
-        """Return how long a request may wait and still be answered in time."""
+    def _slot_wait_seconds(self, service, remaining):
+        """Return how long a request may wait for a slot and be answered in time."""
         usual = self._timeouts.usual_seconds(service)
         if usual is None:
-            return max(0.0, rest * _SLOT_SHARE)
-        return max(0.0, rest - usual)
+            return max(0.0, remaining * _SLOT_SHARE)
+        return max(0.0, remaining - usual)
--- /dev/null
+++ b/papayapick/jobs/held_tasks.py
@@ -0,0 +1,94 @@
+"""Hold back tasks after a takeover that may have a run unknown to the new owner."""
+
+__all__ = ["HeldTasks"]
+
+
+class HeldTasks:
+    """Track the tasks that an earlier owner may have started.
+
+    A held task is not queued for a worker, since it would run twice if its earlier run
+    is still active.
+
+    Parameters
+    ----------
+    registry : JobRegistry
+    outcomes : OutcomeHandler
+    """
+
+    __slots__ = ("_jobs", "_must_hold", "_outcomes", "_registry", "_tasks")
+
+    def __init__(self, registry, outcomes):
+        self._registry = registry
+        self._outcomes = outcomes
+        # Held tasks as (step, index).
+        self._tasks = set()
+        # Condition for holding tasks of these jobs; None while none are added.
+        self._must_hold = None
+        self._jobs = frozenset()
+
+    def __bool__(self):
+        return bool(self._tasks)
+
+    def activate(self, must_hold, jobs):
+        """Hold waiting tasks, and tasks of steps that become ready later.
+
+        Parameters
+        ----------
+        must_hold : callable
+            Takes a TaskState and returns whether the task must be held.
+        jobs : iterable of str
+            Identifiers of the jobs that existed under the earlier owner.
+        """
+        self._must_hold = must_hold
+        self._jobs = set(jobs)
+        for step in self._registry.waiting_steps():
+            for index in list(step.waiting):
+                if self.hold_if_required(step, index):
+                    step.waiting.discard(index)
+            if not step.waiting:
+                self._registry.dequeue_step(step)
+
+    def deactivate(self):
+        """Hold no further tasks; those that are held stay so until released."""
+        self._must_hold = None
+
+    def hold_if_required(self, step, index):
+        """Hold a task if the condition requires it; return whether it is held."""
+        if (step, index) in self._tasks:
+            # The outcome of a run earlier than the one for which the task is held must
+            # not release it: the later run may still be active.
+            return True
+        if self._must_hold is None or step.key.job not in self._jobs:
+            return False
+        if not self._must_hold(step.tasks[index]):
+            return False
+        self._tasks.add((step, index))
+        return True
+
+    def release_tasks(self, may_release, now):
+        """Release the tasks that need not be held any more.
+
+        Parameters
+        ----------
+        may_release : callable
+            Takes a TaskState and returns whether the task may be released.
+        now : float
+            Monotonic seconds.
+        """
+        released = [
+            (step, index)
+            for step, index in self._tasks
+            if may_release(step.tasks[index])
+        ]
+        self._tasks.difference_update(released)
+        for step, index in released:
+            self._release(step, index)
+        for step in {step for step, _ in released}:
+            if not any(held is step for held, _ in self._tasks):
+                self._outcomes.stop_partial_gang(step, now)
+
+    def _release(self, step, index):
+        task = step.tasks[index]
+        task.refresh_place()
+        if not (task.is_done or task.runs or step.job.is_final):
+            self._registry.enqueue_task(step, index)
--- a/papayapick/journal/queries.py
+++ b/papayapick/journal/queries.py
@@ -1,9 +1,9 @@
-"""Read a shard's journal back."""
+"""Load a shard's work from its journal."""
 
 import json
 
 from papayapick.journal.records import record_from_mapping
-from papayapick.journal.work import WorkBook
+from papayapick.journal.work import WorkIndex
 
 __all__ = [
     "JournalState",
@@ -20,37 +20,37 @@
 
 
 def segment_key(shard, epoch, number):
-    """Return the key of one segment; keys sort in the order of writing."""
+    """Return the key of one segment; keys sort in write order."""
     return f"{journal_prefix(shard)}{epoch:010d}/{number:010d}"
 
 
 def snapshot_key(shard):
-    """Return the row that names a shard's snapshot object."""
+    """Return the key of the row that names a shard's snapshot object."""
     return f"snapshot/{shard}"
 
 
 class JournalState:
-    """Hold what a shard's journal said when it was read.
+    """Hold the state of a shard's journal as read.
 
     Parameters
     ----------
-    book : WorkBook
+    work_index : WorkIndex
     keys : list of str
-        Of the segments, oldest first.
+        Keys of the segments, oldest first.
     snapshot_version : int
-        Of the row that names the snapshot, 0 where there is none.
+        Version of the row that names the snapshot; 0 if there is no row.
     """
 
-    __slots__ = ("book", "keys", "snapshot_version")
+    __slots__ = ("keys", "snapshot_version", "work_index")
 
-    def __init__(self, book, keys, snapshot_version):
-        self.book = book
+    def __init__(self, work_index, keys, snapshot_version):
+        self.work_index = work_index
         self.keys = keys
         self.snapshot_version = snapshot_version
 
 
 def read_journal(table, objects, shard):
-    """Rebuild the requests of a shard from snapshot and segments.
+    """Rebuild the requests of a shard from its snapshot and segments.
 
     Returns
     -------
@@ -60,15 +60,15 @@
     ------
     TableUnavailable, ObjectsUnavailable, ObjectMissing
     """
-    book = WorkBook()
+    work_index = WorkIndex()
     snapshot = table.read(snapshot_key(shard))
     if snapshot is not None:
-        for found in json.loads(objects.get(snapshot.value["object"])):
-            book.apply(record_from_mapping(found))
+        for mapping in json.loads(objects.get(snapshot.value["object"])):
+            work_index.apply(record_from_mapping(mapping))
     rows = table.scan(journal_prefix(shard))
     for row in rows:
-        for found in row.value["records"]:
-            book.apply(record_from_mapping(found))
-    book.note_earlier_starts()
+        for mapping in row.value["records"]:
+            work_index.apply(record_from_mapping(mapping))
+    work_index.mark_started_as_run()
     version = snapshot.version if snapshot is not None else 0
-    return JournalState(book, [row.key for row in rows], version)
+    return JournalState(work_index, [row.key for row in rows], version)
--- a/papayapick/limits/pauses.py
+++ b/papayapick/limits/pauses.py
@@ -1,54 +1,55 @@
-"""Notice that the process was paused."""
+"""Detection of pauses of the process."""
 
 import threading
 
-__all__ = ["PauseGuard"]
+__all__ = ["PauseDetector"]
 
 
-class PauseGuard:
+class PauseDetector:
     """Count the pauses of a process.
 
-    A process that was frozen and woken still believes in the shards, grants
-    and bundle it had. Whoever depends on such a belief compares ``count()``
-    with the count at which it was last confirmed, and confirms it again before
-    it decides anything. Either the ticker or the decision itself sees the gap,
-    whichever runs first after the pause, so no decision slips through.
+    A process that was suspended and resumed still holds its shards, grants and bundle,
+    which may have become invalid meanwhile. Code that depends on one of these compares
+    ``count()`` with the count at its last confirmation, and confirms it again before it
+    makes a decision. Either the periodic call of ``count()`` or that of the decision
+    sees the gap, whichever runs first after the pause, so no decision after a pause
+    relies on an earlier confirmation.
 
     Parameters
     ----------
     clock : Clock
     pause_seconds : float
-        A gap between two ticks that counts as a pause.
+        A longer gap between two calls of ``count()`` counts as a pause.
 
     Examples
     --------
     >>> from papayapick.clock import ManualClock
     >>> clock = ManualClock()
-    >>> guard = PauseGuard(clock, 1.0)
+    >>> detector = PauseDetector(clock, 1.0)
     >>> clock.advance(5)
-    >>> guard.count()
+    >>> detector.count()
     1
     """
 
-    __slots__ = ("_clock", "_count", "_lock", "_pause_seconds", "_then")
+    __slots__ = ("_clock", "_count", "_counted_at", "_lock", "_pause_seconds")
 
     def __init__(self, clock, pause_seconds):
         self._clock = clock
         self._pause_seconds = pause_seconds
-        self._then = clock.monotonic()
+        self._counted_at = clock.monotonic()
         self._count = 0
         self._lock = threading.Lock()
 
     @property
     def tick_seconds(self):
-        """Return how often ``count`` must be called while nothing decides."""
+        """Return the interval at which to call ``count`` periodically, in seconds."""
         return self._pause_seconds / 4
 
     def count(self):
-        """Note the present moment and return the pauses so far."""
+        """Record the present time and return the number of pauses so far."""
         with self._lock:
             now = self._clock.monotonic()
-            if now - self._then > self._pause_seconds:
+            if now - self._counted_at > self._pause_seconds:
                 self._count += 1
-            self._then = now
+            self._counted_at = now
             return self._count
--- a/papayapick/membership/peer.py
+++ b/papayapick/membership/peer.py
@@ -1,4 +1,4 @@
-"""Hold what one process knows of one placer."""
+"""State that a process keeps for each placer."""
 
 import threading
 
@@ -6,25 +6,33 @@
 
 
 class Peer:
-    """Hold what is known of one placer.
+    """Hold the last known state of one placer.
 
     Parameters
     ----------
     entry : HostEntry
     client : PeerClient
     now : float
-        Monotonic seconds; silence counts from here until the first answer.
+        Monotonic seconds; until the first answer, silence is counted from here.
     """
 
-    __slots__ = ("asked", "client", "entry", "failed", "heard", "last_heard", "stop")
+    __slots__ = (
+        "client",
+        "entry",
+        "last_failed_at",
+        "last_heartbeat",
+        "last_heartbeat_at",
+        "last_sent_at",
+        "stop",
+    )
 
     def __init__(self, entry, client, now):
         self.entry = entry
         self.client = client
-        self.heard = None
-        self.last_heard = now
-        self.asked = float("-inf")
-        self.failed = float("-inf")
+        self.last_heartbeat = None
+        self.last_heartbeat_at = now
+        self.last_sent_at = float("-inf")
+        self.last_failed_at = float("-inf")
         self.stop = threading.Event()
 
     @property
--- a/papayapick/placer/owners.py
+++ b/papayapick/placer/owners.py
@@ -3,7 +3,7 @@
 import threading
 
 from papayapick.clients import PlatformError
-from papayapick.membership import LookGate
+from papayapick.membership import PollGate
 from papayapick.observability import get_logger
 from papayapick.ownership import (
     ShardNotOwned,
@@ -58,7 +58,7 @@
         self._on_lost = on_lost
         self._shards = {}
         self._claimed = {}
-        self._gate = LookGate(process.clock, lambda: process.has_store_contact())
+        self._gate = PollGate(process.clock, lambda: process.has_store_contact())
         self._takeovers = set()
         self._lock = threading.Lock()
 
@@ -213,7 +213,7 @@
     def _may_have_changed(self):
         """Return whether the rows may differ from what the peers announce."""
         shards = self.shards
-        served = self._process.peers.serving()
+        served = self._process.peers.shard_owners()
         return (
             any(shard.needs_confirmation for shard in shards)
             or bool(set(self._process.watcher.bundle.shards()) - set(served))
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -192,7 +192,7 @@
             )
 
     def _log_placed(self, step, runs, now):
-        step.told_wait = None
+        step.logged_wait = None
         STEP_PLACED.write(
             request_id=step.key.job,
             occurrence=step.key.occurrence,
@@ -209,11 +209,12 @@
         """Log what a step waits for, once it has waited long."""
         waited = now - step.ready_at
         is_logged = (
-            step.told_wait == reason and now < step.told_wait_at + _LOG_AGAIN_SECONDS
+            step.logged_wait == reason
+            and now < step.logged_wait_at + _LOG_AGAIN_SECONDS
         )
         if waited < _LOG_AFTER_SECONDS or is_logged:
             return
-        step.told_wait, step.told_wait_at = reason, now
+        step.logged_wait, step.logged_wait_at = reason, now
         status = self._owner.advice_manager.status(step, now)
         asked = status.asked_seconds
         STEP_WAITS.write(
@@ -232,11 +233,11 @@
 
     def _begin(self, step, index, worker, attempt):
         now = self._owner.now()
-        if step.job.status == JobStatus.WAITING and not step.job.is_begun:
-            step.job.is_begun = True
-            FIRST_START_SECONDS.observe(now - step.job.arrived)
+        if step.job.status == JobStatus.WAITING and not step.job.has_placed_task:
+            step.job.has_placed_task = True
+            FIRST_START_SECONDS.observe(now - step.job.arrived_at)
             self.backlog.note_first_start(step.job.document.queue, now)
-        run = self._owner.book.begin(step, index, worker, now, attempt)
+        run = self._owner.book.begin_run(step, index, worker, now, attempt)
         room = self._owner.rooms.get(worker)
         room.reserve(run)
         if room.hold is not None and room.hold.step_key != step.key:
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -3,7 +3,7 @@
 import functools
 
 from papayapick.jobs.runs import RunPhase
-from papayapick.platform.exceptions import CheckFailed, WorkerSilent
+from papayapick.platform.exceptions import CallFailed, WorkerSilent
 from papayapick.pool.events import (
     ORDER_FAILED,
     ORDERS_HELD_UP,
@@ -146,7 +146,7 @@
                 return
             now = self._owner.now()
             if outcome == StartOutcome.STARTED:
-                run.answered_at = now
+                run.start_confirmed_at = now
                 self._owner.book.note_started(run)
             elif outcome == StartOutcome.UNKNOWN:
                 if run.phase == RunPhase.ORDERED:
@@ -177,7 +177,7 @@
             step = self._owner.book.step_of(run.key)
             if step is not None:
                 step.tasks[run.key.index].avoid.add(run.worker)
-        self._owner.book.drop(run, now)
+        self._owner.book.drop_run(run, now)
 
     def note_stop_confirmed(self, run):
         """Record that a worker has confirmed a stop."""
@@ -271,11 +271,11 @@
         except WorkerSilent:
             # A later tick sends the stop again.
             return
-        except CheckFailed as error:
+        except CallFailed as error:
             STOP_REFUSED.write(worker=link.worker, status=error.details["status"])
             return
         self.note_stop_confirmed(run)
-        if run.phase == RunPhase.STOPPING and not run.was_seen:
+        if run.phase == RunPhase.STOPPING and not run.was_listed:
             # The run may never have started. No end is reported for it then, and only
             # a report requested after the stop shows that its capacity is free.
             link.refresh()
@@ -286,10 +286,10 @@
             link.client.pace(run.key, run.attempt, percent, self._owner.row.epoch)
         except WorkerSilent as error:
             # The order may have been carried out, or may still be carried out later.
-            run.pace, run.has_lost_pace = None, True
+            run.pace, run.is_pace_unconfirmed = None, True
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
-        except CheckFailed as error:
+        except CallFailed as error:
             PACE_NOT_SET.write(worker=link.worker, error=str(error))
             return
         PACE_SET.write(**run_fields(run), percent=percent, percent_before=run.pace)
--- a/papayapick/pool/retention.py
+++ b/papayapick/pool/retention.py
@@ -51,5 +51,5 @@
         return
     with owner.lock:
         for identifier in expired:
-            owner.book.forget(identifier)
+            owner.book.remove(identifier)
             owner.advice_manager.forget(identifier)
--- a/papayapick/pool/status_feed.py
+++ b/papayapick/pool/status_feed.py
@@ -45,7 +45,10 @@
             By job id.
         """
         with self._owner.lock:
-            changed, self._owner.book.news = self._owner.book.news, set()
+            changed, self._owner.book.status_changes = (
+                self._owner.book.status_changes,
+                set(),
+            )
             jobs = [self._owner.book.get(identifier) for identifier in changed]
             return {
                 job.identifier: _visible_status(job) for job in jobs if job is not None
--- a/tests/failures/lives.py
+++ b/tests/failures/lives.py
@@ -21,7 +21,7 @@
 )
 from papayapick.clients.objects import digest_of
 from papayapick.clock import ManualClock
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership import read_shard
 from papayapick.placer.owners import ShardOwner
 from papayapick.placer.requests import RequestRunner
@@ -190,7 +190,7 @@
             is_draining=False,
             stop_event=threading.Event(),
             objects=ObjectStore(URL + "/objects", self.pool),
-            pauses=PauseGuard(cell.clock, 1e9),
+            pauses=PauseDetector(cell.clock, 1e9),
             peers=SimpleNamespace(entries=HostList(URL + "/hosts", self.pool).fetch()),
             settings=SimpleNamespace(host_name=name, journal_linger_seconds=0.0),
             table=Table(URL + "/table", self.pool),
@@ -250,7 +250,7 @@
             found = self.desk.take(0)
             if found is not None:
                 self._run(*found)
-            elif all(item.ended for item in self.shard.book.items):
+            elif all(item.ended for item in self.shard.work_index.items):
                 return
             else:
                 self.clock.advance(1.0)
@@ -271,7 +271,7 @@
     @contextlib.contextmanager
     def held(self):
         """Hold the journal's writer back, so that records gather."""
-        with self.shard.journal._writing:
+        with self.shard.journal._write_lock:
             yield
 
     def wait_for_records(self, count):
@@ -330,7 +330,7 @@
                 self.clock.advance(0.3)
 
     def _resume(self, shard):
-        for item in shard.book.items:
+        for item in shard.work_index.items:
             if item.state == "waiting":
                 self.desk.enqueue(shard, item)
             elif item.state == "running":
--- a/tests/membership/test_announce.py
+++ b/tests/membership/test_announce.py
@@ -20,16 +20,20 @@
     return HostEntry(name, kind, "live", f"{host}:{port}", "south-tas", "hobart-a")
 
 
-def test_every_process_that_answers_is_told_of_an_accepted_bundle():
-    """The table goes down right after an accept. A dead process on the list
-    must not keep the others from hearing of the bundle, and an instance, which
-    is no process of the cell, is not called.
+def test_every_process_that_answers_is_notified_of_an_accepted_bundle():
+    """The table fails right after an accept. A dead process on the list must not
+    prevent the notification of the others. A worker, which is no process of the
+    cell, is not contacted.
     """
-    heard = []
+    received = []
 
     def answer(payload, peer, traceparent):
-        told = (payload.bundle_sequence, payload.bundle_digest, payload.head_version)
-        heard.append((peer.host, *told))
+        notified = (
+            payload.bundle_sequence,
+            payload.bundle_digest,
+            payload.head_version,
+        )
+        received.append((peer.host, *notified))
         return Heartbeat(host="one")
 
     with ThreadPoolExecutor(8) as executor, socket.create_server(("127.0.0.1", 0)) as s:
@@ -42,41 +46,41 @@
             entry("gateway-1", "gateway", server.address),
             entry("worker-1", "worker", server.address),
         ]
-        told = announce_head(entries, HEAD, KEY, Hello(host="operator ana"), 0.2)
+        notified = announce_head(entries, HEAD, KEY, Hello(host="operator ana"), 0.2)
         server.close()
-    assert told == ["gateway-1", "placer-1"]
-    assert heard == [("operator ana", 7, "digest", 3)] * 2
+    assert notified == ["gateway-1", "placer-1"]
+    assert received == [("operator ana", 7, "digest", 3)] * 2
 
 
-def test_a_stranger_without_the_key_is_not_heard():
-    """Somebody on the network without the cell's key names another bundle."""
-    heard = []
+def test_a_notification_without_the_cell_key_is_rejected():
+    """A client on the network without the cell key announces another bundle."""
+    received = []
     with ThreadPoolExecutor(8) as executor:
         server = PeerServer(
             ("127.0.0.1", 0),
             KEY,
             Hello(host="one"),
-            lambda *message: heard.append(message),
+            lambda *message: received.append(message),
             executor,
         )
         server.start()
         entries = [entry("placer-1", "placer", server.address)]
-        told = announce_head(entries, HEAD, b"another key", Hello(host="x"), 0.2)
+        notified = announce_head(entries, HEAD, b"another key", Hello(host="x"), 0.2)
         server.close()
-    assert (told, heard) == ([], [])
+    assert (notified, received) == ([], [])
 
 
-class Listener:
-    """Hold what a process needs to hear an asker, and count its looks."""
+class FakeProcess:
+    """Hold what Process needs to handle a heartbeat, and count the polls."""
 
     def __init__(self):
-        self.looks = 0
+        self.polls = 0
         self.newest = 0
-        self.watcher = SimpleNamespace(sequence=4, handle_peer_head=self.put_in_force)
+        self.watcher = SimpleNamespace(sequence=4, handle_peer_head=self.activate)
         self.peers = SimpleNamespace(note_head=self.note_head)
-        self.executor = SimpleNamespace(submit=lambda look: look())
+        self.executor = SimpleNamespace(submit=lambda task: task())
 
-    def put_in_force(self, head, fetch):
+    def activate(self, head, fetch):
         self.watcher.sequence = max(self.watcher.sequence, head.sequence)
 
     def note_head(self, version):
@@ -85,11 +89,11 @@
         return is_newer
 
     def _poll_head(self):
-        self.looks += 1
+        self.polls += 1
 
 
 @pytest.mark.parametrize(
-    ("sequences", "versions", "looks"),
+    ("sequences", "versions", "polls"),
     [
         ((4, 4), (9, 9), 1),
         ((4, 5), (9, 9), 2),
@@ -98,16 +102,17 @@
     ],
     ids=["proposed", "proposed and accepted", "accepted", "nothing new"],
 )
-def test_a_process_looks_once_for_each_piece_of_news(sequences, versions, looks):
-    """An operator's roll takes four seconds: processes far from the store wait
-    for a heartbeat over the link before they look. Told by the operator's
-    program they look at once; but each only once, or the heartbeats of all
-    others would have the table asked again and again.
+def test_a_process_polls_once_for_each_change(sequences, versions, polls):
+    """Without a notification, processes far from the store would wait for a
+    heartbeat across the link before they poll, and a roll would take four
+    seconds. Notified by the operator's program, they poll immediately, but only
+    once per change. Otherwise the heartbeats of all other processes would each
+    cause another poll of the table.
     """
-    process = Listener()
+    process = FakeProcess()
     for sequence, version in zip(sequences, versions, strict=True):
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             host="a", bundle_sequence=sequence, bundle_digest="d", head_version=version
         )
-        Process._handle_peer_heartbeat(process, beat)
-    assert process.looks == looks
+        Process._handle_peer_heartbeat(process, heartbeat)
+    assert process.polls == polls
--- a/tests/ownership/test_grants.py
+++ b/tests/ownership/test_grants.py
@@ -2,7 +2,7 @@
 
 from papayapick.routing import Grant, GrantExpired
 from papayapick.wire.messages import SlotRequest
-from tests.ownership.parts import SmallCell
+from tests.ownership.small_cell import SmallCell
 
 WINDOW = 0.5
 
@@ -10,11 +10,11 @@
 @pytest.mark.parametrize(
     ("wait", "run"), [(0.0, 5.0), (2.6, 5.0), (10.0, 5.0), (10.0, 0.1)]
 )
-def test_a_slot_is_not_taken_back_while_its_grant_may_be_used(wait, run):
-    """A gateway is frozen between the grant and the send. The placer, past the
-    upper bound of a run, asks the backend server, which knows of no call, and
-    gives the slot to another; the gateway wakes within its own window and
-    calls as well: one slot, two calls.
+def test_a_slot_is_not_reclaimed_while_its_grant_may_be_used(wait, run):
+    """A gateway is paused between the grant and its call. After the maximum run
+    time the placer queries the backend server, which reports no call, and grants
+    the slot to another request. The gateway resumes within its own grant window
+    and calls as well, so that one slot runs two calls.
     """
     with SmallCell() as cell:
         shard = cell.take_over("placer-a")
@@ -24,9 +24,9 @@
             wait_milliseconds=int(wait * 1000),
             run_milliseconds=int(run * 1000),
         )
-        asked = cell.clock.monotonic()
+        requested_at = cell.clock.monotonic()
         granted = shard.slot_allocator.request(wanted, 8)
-        grant = Grant(granted, None, asked + wait + WINDOW)
+        grant = Grant(granted, None, requested_at + wait + WINDOW)
         while is_usable(grant, cell.clock.monotonic()):
             assert list(shard.slot_allocator.in_doubt_instances()) == []
             cell.clock.advance(0.1)
--- a/tests/placer/jobcells.py
+++ b/tests/placer/jobcells.py
@@ -12,7 +12,7 @@
 from papayapick.clients.types import Row
 from papayapick.clock import ManualClock
 from papayapick.journal import Journal
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership.queries import ShardRow
 from papayapick.placer.jobs import JobRunner
 from papayapick.placer.shards import Shard
@@ -77,7 +77,7 @@
             executor=InlineExecutor(),
             generator=random.Random(1),
             objects=MemoryObjects(),
-            pauses=PauseGuard(self.clock, 1e9),
+            pauses=PauseDetector(self.clock, 1e9),
             settings=SimpleNamespace(
                 task_lease_seconds=LEASE_SECONDS, journal_linger_seconds=0.0
             ),
@@ -130,7 +130,7 @@
             self.step()
 
     def item(self, name):
-        return self.shard.book.get(name)
+        return self.shard.work_index.get(name)
 
     def ended(self, name):
         ended = self.item(name).ended
@@ -150,7 +150,7 @@
 
     __slots__ = ()
 
-    def append(self, record, must_last=False):
-        entry = super().append(record, must_last)
+    def append(self, record, must_persist=False):
+        entry = super().append(record, must_persist)
         self.write_segment()
         return entry
--- a/tests/pool/test_journal.py
+++ b/tests/pool/test_journal.py
@@ -8,7 +8,7 @@
 from papayapick.clients.exceptions import ConditionFailed
 from papayapick.clients.rows import RowWrite, StoredRow
 from papayapick.clock import ManualClock
-from papayapick.jobs import JobBook, JobDocument, JobStatus, Queue, Step
+from papayapick.jobs import JobDocument, JobRegistry, JobStatus, Queue, Step
 from papayapick.ledger import Amounts
 from papayapick.ownership.pools import CELL_TABLE, PoolRow
 from papayapick.pool.journal import PROGRESS_TABLE, PoolJournal
@@ -74,7 +74,7 @@
 
     def __init__(self, store):
         self.lock = threading.RLock()
-        self.book = JobBook()
+        self.book = JobRegistry()
         self.link = FakeLink()
         self.roster = WorkerRoster(PROGRESS_TABLE, "pool")
         version = store.apply([], [RowWrite(CELL_TABLE, "pool", "owner", {})])
@@ -134,11 +134,11 @@
     document = JobDocument(identifier, "q", "pool", "t", [step], 0.0)
     job = owner.book.add(document, QUEUE, 0.0)
     (state,) = [s for s in owner.book.waiting_steps() if s.job is job]
-    return job, [owner.book.begin(state, index, "w", 0.0) for index in range(tasks)]
+    return job, [owner.book.begin_run(state, index, "w", 0.0) for index in range(tasks)]
 
 
 def _done(owner, run):
-    owner.book.end(run.key, run.attempt, "done", "", "w", 0.0)
+    owner.book.end_run(run.key, run.attempt, "done", "", "w", 0.0)
     owner.link.processed += 1
 
 
--- a/tests/pool/test_liveness.py
+++ b/tests/pool/test_liveness.py
@@ -3,7 +3,7 @@
 import pytest
 
 from papayapick.jobs import RunPhase
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 from papayapick.platform.machines import Machine
 from papayapick.pool.liveness import LivenessCheck
 from tests.pool.owners import (
@@ -27,7 +27,7 @@
 
     def fetch(self):
         if self.is_unavailable:
-            raise CheckFailed(address="machines", status=0)
+            raise CallFailed(address="machines", status=0)
         return [
             Machine(f"m{number}", "pool", bool(worker), worker)
             for number, worker in enumerate(self.workers)
@@ -76,7 +76,7 @@
 def test_run_of_an_unanswered_order_is_kept(load):
     # The order may still be executed by a restarted worker under the same id.
     run = runs(load)[0]
-    run.phase, run.was_seen = RunPhase.UNSURE, False
+    run.phase, run.was_listed = RunPhase.UNSURE, False
     assert waiting_after_check(load, Machines(load.other, "")) == 3
 
 
--- a/tests/pool/test_status_feed.py
+++ b/tests/pool/test_status_feed.py
@@ -32,7 +32,7 @@
     assert load.owner.status_feed.all_states() == {job.identifier: JobStatus.RUNNING}
     assert load.owner.status_feed.take_changes() == {job.identifier: JobStatus.RUNNING}
     job.durable_status = JobStatus.COMPLETED
-    load.owner.book.news.add(job.identifier)
+    load.owner.book.status_changes.add(job.identifier)
     assert load.owner.status_feed.take_changes() == {
         job.identifier: JobStatus.COMPLETED
     }
--- a/tests/pool/test_upkeep.py
+++ b/tests/pool/test_upkeep.py
@@ -9,7 +9,7 @@
 from papayapick.jobs import JobDocument, Step
 from papayapick.ledger import Amounts
 from papayapick.placement.waves import Wave, WaveRecord, choose_machines
-from papayapick.platform.exceptions import CheckFailed
+from papayapick.platform.exceptions import CallFailed
 from papayapick.platform.machines import Machine, UpkeepOutcome
 from papayapick.pool.upkeep import WAVES_TABLE, UpkeepCoordinator
 from tests.pool.standins import QUEUE, PoolSimulation, Worker, _registration
@@ -79,7 +79,7 @@
 
     def fetch(self):
         if self.is_unavailable:
-            raise CheckFailed(address="machines", status=0)
+            raise CallFailed(address="machines", status=0)
         return [
             Machine(
                 name,
@@ -365,8 +365,8 @@
     machines = {name: Machine(name, "pool", True, "w" + name) for name in ("a", "b")}
     wave, record = Wave(1, ["a", "b"], 60.0, 1), WaveRecord(0.0)
 
-    def choose(loads, drained=()):
-        return choose_machines(wave, record, machines, bool, loads, drained)
+    def choose(loads, draining=()):
+        return choose_machines(wave, record, machines, bool, loads, draining)
 
     assert choose({"wa": 1000, "wb": 2000}) == ["a"]
-    assert choose({"wa": 1000, "wb": 0}, drained={"wa"}) == ["a"]
+    assert choose({"wa": 1000, "wb": 0}, draining={"wa"}) == ["a"]
--- a/tests/quotas/test_shares.py
+++ b/tests/quotas/test_shares.py
@@ -1,10 +1,10 @@
-"""Teams get their quota, borrow what idles, and give it back."""
+"""Tests of quotas: teams get their quota, borrow idle room and return it."""
 
 import pytest
 
 from papayapick.ledger import Amounts, HostLedger
 from papayapick.placement import JobQueue, WaitingJob
-from papayapick.quotas import QuotaBook
+from papayapick.quotas import QuotaTracker
 
 CORE = Amounts(1000, 1024)
 
@@ -13,10 +13,10 @@
     ledger = HostLedger()
     ledger.add("worker-0", Amounts(cores * 1000, cores * 1024))
     ledger.open("worker-0")
-    book = QuotaBook()
+    tracker = QuotaTracker()
     teams = {team: {"processors": quota * 1000} for team, quota in quotas.items()}
-    book.use("digest", teams, 1)
-    return JobQueue(ledger, quotas=book)
+    tracker.set_quotas("digest", teams, 1)
+    return JobQueue(ledger, quotas=tracker)
 
 
 def add(queue, team, count, arrival=0.0, **more):
@@ -38,19 +38,19 @@
     return sorted(start.job.team for start in starts)
 
 
-def test_a_team_that_came_first_does_not_take_another_teams_quota():
-    """A team waits for hours as another lodged hundreds of jobs before it."""
+def test_team_that_submits_first_does_not_use_another_teams_quota():
+    """Guard against a team that waits for hours behind another team's earlier jobs."""
     queue = queue_of(4, first=2, second=2)
     add(queue, "first", 10)
     add(queue, "second", 2, arrival=1.0)
     assert teams_of(queue.choose_starts(2.0)) == ["first"] * 2 + ["second"] * 2
 
 
-def test_what_one_team_leaves_another_borrows_and_gives_back():
-    """Half of the cell idles at night, or its owner can't get it back by day.
+def test_unused_quota_is_borrowed_and_returned():
+    """Guard against an idle half of a cell, and against room that is not returned.
 
-    The borrower's jobs run for hours; they are checkpointed once the owner has
-    waited for a minute.
+    The borrower's jobs run for hours. They are paused once the team that is entitled to
+    the room has waited for a minute.
     """
     queue = queue_of(4, first=2, second=2)
     add(queue, "first", 10, can_pause=True)
@@ -67,7 +67,7 @@
     assert queue.choose_pauses(400.0) == []
 
 
-def test_what_is_left_goes_to_the_team_that_borrows_least():
+def test_remaining_room_goes_to_the_team_that_borrows_least():
     queue = queue_of(8, small=1, large=4)
     add(queue, "small", 8)
     add(queue, "large", 8)
@@ -82,8 +82,8 @@
     assert teams_of(queue.choose_starts(0.0)) == ["", "listed"]
 
 
-def test_an_urgent_job_over_its_quota_pauses_nobody():
-    """A team marks all its jobs urgent and takes the whole cell."""
+def test_urgent_job_beyond_its_quota_pauses_no_other():
+    """Guard against a team that takes the whole cell by marking all jobs as urgent."""
     queue = queue_of(2, greedy=0, modest=2)
     add(queue, "modest", 2, can_pause=True)
     queue.choose_starts(0.0)
@@ -101,17 +101,17 @@
         ({"processors": 9000, "accelerators": 0}, Amounts(0, 0, 1), True),
     ],
 )
-def test_each_amount_has_its_quota(amounts, used, expected):
-    book = QuotaBook()
-    book.use("digest", {"team": amounts}, 1)
-    book.start("team", used, 1)
-    assert book.is_over("team") is expected
-
-
-def test_a_new_bundle_changes_the_quotas_and_keeps_what_is_used():
-    book = QuotaBook()
-    book.use("old", {"team": {"processors": 1000}}, 1)
-    book.start("team", Amounts(1000), 2)
-    assert book.is_over("team")
-    book.use("new", {"team": {"processors": 4000}}, 2)
-    assert not book.is_over("team")
+def test_each_resource_has_its_own_quota(amounts, used, expected):
+    tracker = QuotaTracker()
+    tracker.set_quotas("digest", {"team": amounts}, 1)
+    tracker.add_usage("team", used, 1)
+    assert tracker.is_over_quota("team") is expected
+
+
+def test_new_bundle_changes_the_quotas_and_keeps_the_usage():
+    tracker = QuotaTracker()
+    tracker.set_quotas("old", {"team": {"processors": 1000}}, 1)
+    tracker.add_usage("team", Amounts(1000), 2)
+    assert tracker.is_over_quota("team")
+    tracker.set_quotas("new", {"team": {"processors": 4000}}, 2)
+    assert not tracker.is_over_quota("team")
--- a/tests/spec/test_journal_replay.py
+++ b/tests/spec/test_journal_replay.py
@@ -13,7 +13,7 @@
 from papayapick.clock import ManualClock
 from papayapick.journal import Ended, JournalUnsettled, Started
 from papayapick.journal.queries import read_journal
-from papayapick.limits import PauseGuard, TokenBucket
+from papayapick.limits import PauseDetector, TokenBucket
 from papayapick.ownership import claim, read_shard
 from papayapick.placer.requests import RequestRunner
 from papayapick.placer.shards import Shard
@@ -70,7 +70,7 @@
             objects=MemoryObjects(),
             generator=random.Random(7),
             settings=SimpleNamespace(journal_linger_seconds=0.0),
-            pauses=PauseGuard(self.clock, 1.0),
+            pauses=PauseDetector(self.clock, 1.0),
             watcher=SimpleNamespace(bundle=SimpleNamespace(services=POLICIES)),
             stop_event=threading.Event(),
         )
@@ -84,7 +84,7 @@
 
     def journaled(self):
         """Return what a successor would read."""
-        return read_journal(self.table, self.process.objects, SHARD).book
+        return read_journal(self.table, self.process.objects, SHARD).work_index
 
     def submit(self, policy, steps=()):
         """Submit work "r"; the write of its acceptance goes as ``steps`` say."""
@@ -118,7 +118,7 @@
 
     @property
     def item(self):
-        return self.shard.book.get("r")
+        return self.shard.work_index.get("r")
 
 
 @pytest.fixture
@@ -143,7 +143,7 @@
         with pytest.raises(TransactionConflict):
             life.table.apply_late()
     assert len(life.journaled()) == arrives
-    assert len(life.shard.book) == arrives
+    assert len(life.shard.work_index) == arrives
 
 
 def test_nothing_is_sent_before_the_start_is_durable(life):
