--- a/papayapick/entry/advice_dispatch.py
+++ b/papayapick/entry/advice_dispatch.py
@@ -14,7 +14,7 @@
 
 __all__ = ["AdviceDispatcher", "SerialAdviceClient"]
 
-# Hosts answer a new owner's first beats within this time.
+# Hosts answer a new owner's first heartbeats within this time.
 _FIRST_ANSWERS_SECONDS = 0.4
 
 
--- a/papayapick/entry/beats.py
+++ b/papayapick/entry/beats.py
@@ -1,4 +1,4 @@
-"""Send the beats of an owned pool, with its changed job states, to the other hosts."""
+"""Send the heartbeats and changed job states of owned pools to the other hosts."""
 
 import threading
 
@@ -8,7 +8,7 @@
 
 __all__ = ["BeatBroadcaster", "BeatSender"]
 
-# Other hosts consider an owner silent after three missed beats.
+# Other hosts consider an owner silent after three missed heartbeats.
 BEAT_SECONDS = 0.2
 _RETRY_SECONDS = 0.3
 # Changes within this time are sent in one message.
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
 
     def announce(self, owner):
-        """Start to send the beats and all job states of a pool just taken over."""
+        """Start to send heartbeats and all job states of a pool just taken over."""
         self._host.job_states.note_statuses(owner.status_feed.all_states())
         self.start_missing_senders()
 
@@ -72,7 +72,7 @@
         self._host.executor.submit(sender.run)
 
     def send_all_now(self):
-        """Make all senders send a beat at once instead of at their next interval."""
+        """Make all senders send a heartbeat at once, before their next interval."""
         with self._lock:
             senders = list(self._senders.values())
         for sender in senders:
@@ -104,7 +104,7 @@
 
 
 class BeatSender:
-    """Send beats for one pool to one host, as a task of its own.
+    """Send heartbeats for one pool to one host, as a task of its own.
 
     Parameters
     ----------
@@ -140,21 +140,21 @@
 
     @property
     def peer(self):
-        """Return the host that receives the beats."""
+        """Return the host that receives the heartbeats."""
         return self._peer
 
     def enqueue(self, states):
-        """Add changed job states to the next beat and wake the task."""
+        """Add changed job states to the next heartbeat and wake the task."""
         with self._lock:
             self._pending_states.update(states)
         self.wake()
 
     def wake(self):
-        """Wake the task before the end of the beat interval."""
+        """Wake the task before the end of the heartbeat interval."""
         self._wakeup.set()
 
     def run(self):
-        """Send beats until the owner stops or the row of the host is removed."""
+        """Send heartbeats until the owner stops or the row of the host is removed."""
         clock = self._host.clock
         while not self._owner.is_stopped and self._peer in self._host.peers.all():
             is_woken = clock.wait(self._wakeup, BEAT_SECONDS)
@@ -165,7 +165,7 @@
                 self._owner.pause(_RETRY_SECONDS)
 
     def _beat(self):
-        """Send one beat; return whether the peer answered."""
+        """Send one heartbeat; return whether the peer answered."""
         with self._lock:
             sent = dict(list(self._pending_states.items())[:_STATES_PER_BEAT])
             for identifier in sent:
@@ -216,8 +216,8 @@
     def _to_peer_clock(self, moment):
         """Return a time in milliseconds of the peer's clock, or 0 if it is unknown.
 
-        Messages can be delayed for seconds. If the beat carried an age instead of a
-        time, a delayed count would look fresh on arrival.
+        Messages can be delayed for seconds. If the heartbeat carried an age instead
+        of a time, a delayed count would look fresh on arrival.
         """
         if moment is None or self._peer_clock_lead is None:
             return 0
@@ -229,7 +229,7 @@
         # underestimated and no count is reported as newer than it is.
         self._peer_clock_lead = milliseconds / 1000 - self._host.clock.monotonic()
         if is_first:
-            # The beat just answered carried no time of its counts.
+            # The heartbeat just answered carried no time of its counts.
             self.wake()
 
     def _note_answer(self):
--- a/papayapick/entry/candidacy.py
+++ b/papayapick/entry/candidacy.py
@@ -20,7 +20,7 @@
 
 __all__ = ["Candidacy"]
 
-# Three missed beats, so that a host that lost power is replaced within a second.
+# Three missed heartbeats, so that a host that lost power is replaced within a second.
 _SILENT_AFTER_SECONDS = 0.65
 _CHECK_INTERVAL_SECONDS = 0.05
 _CONNECT_TIMEOUT_SECONDS = 0.2
@@ -79,8 +79,8 @@
         self._is_suspected = True
         self._may_lack_records = True
         self._records_reported_at = 0.0
-        # Version of the row whose owner is expected to send beats. The owner in any
-        # other row is queried before it counts as silent.
+        # Version of the row whose owner is expected to send heartbeats. The owner in
+        # any other row is queried before it counts as silent.
         self._expected_version = None
         self._lock = threading.Lock()
         self._wakeup = threading.Event()
@@ -89,8 +89,8 @@
     def owned_epoch(self):
         """Return the epoch under which this process owns the pool, or 0.
 
-        It is set before the store answers the claim: a host that has already read the
-        new row would otherwise be told that nobody owns the pool, and take it in turn.
+        It is set before the store answers the claim. Otherwise a host that has already
+        read the new row would get the answer 0 to its query and take the pool itself.
         """
         return self.owner.row.epoch if self.is_owner else self._claimed_epoch
 
@@ -133,7 +133,7 @@
             self._wakeup.set()
 
     def note_beat(self, beat):
-        """Record an owner's beat; return whether it is of the newest known epoch."""
+        """Record an owner's heartbeat; return whether its epoch is the newest known."""
         with self._lock:
             self._newest_beat_epoch = max(self._newest_beat_epoch, beat.epoch)
             if beat.epoch < self.known_epoch:
@@ -143,7 +143,7 @@
             self._may_lack_records = bool(beat.may_lack_records)
             self._records_reported_at = self._last_beat_at
             # A host that is cut off from the store still holds the row of an earlier
-            # owner, so the beat of a newer epoch is the one that counts. Otherwise it
+            # owner, so a heartbeat with a newer epoch takes precedence. Otherwise it
             # would try to take the pool every 0.3 s until the store is available.
             if beat.epoch > self.row.epoch or beat.host == self.row.owner:
                 self._is_suspected = bool(beat.gives_way)
@@ -245,7 +245,7 @@
                 return
             check_readable(host, self.pool)
             if not self._needs_owner():
-                # The owner's beat arrived in the meantime, so it is working.
+                # The owner's heartbeat arrived in the meantime, so it is working.
                 return
             name = host.settings.host_name
             address = "{}:{}".format(*host.settings.peer_address)
@@ -273,8 +273,8 @@
         """Return whether the owner that a row names confirms that it owns the pool.
 
         After a power loss of all hosts the row names a process that no longer exists,
-        or one that has restarted and owns nothing. Waiting for its beats would add
-        0.65 s to each recovery.
+        or one that has restarted and owns nothing. Waiting for its heartbeats
+        would add 0.65 s to each recovery.
         """
         if not row.owner or row.owner == self._host.settings.host_name:
             return False
@@ -292,8 +292,8 @@
         # answered.
         self.owner = owner
         self._claimed_epoch = 0
-        # Beats begin before the state is read, which takes a second while the store
-        # is slow: otherwise other hosts would take the pool in the meantime.
+        # Heartbeats begin before the state is read, which takes a second while the
+        # store is slow: otherwise other hosts would take the pool in the meantime.
         self._host.note_owner(owner)
         try:
             owner.start()
--- a/papayapick/entry/events.py
+++ b/papayapick/entry/events.py
@@ -126,7 +126,7 @@
 HOST_REACHED = Event(
     "host reached again",
     "peer pool silent_seconds",
-    "A host that did not answer beats of this host's owner answers again.",
+    "A host that did not answer heartbeats of this host's owner answers again.",
 )
 HOST_FORGOTTEN = Event(
     "host forgotten",
@@ -148,7 +148,8 @@
 HOST_UNREACHED = Event(
     "host unreached",
     "peer pool error",
-    "A host did not answer a beat of this host's owner; logged on the first miss only.",
+    "A host did not answer a heartbeat of this host's owner; only the first miss is "
+    "logged.",
 )
 
 # Requests.
--- a/papayapick/entry/peer_requests.py
+++ b/papayapick/entry/peer_requests.py
@@ -85,8 +85,8 @@
 
     def _note_backlogs(self, beat):
         if not beat.has_read_state:
-            # A new owner sends beats before it has read its state. These list no
-            # queue, which callers would see as queues without waiting jobs.
+            # A new owner sends heartbeats before it has read its state. These list
+            # no queue, which callers would see as queues without waiting jobs.
             return
         backlogs = {
             one.queue: QueueBacklog(one.waiting, one.retry_after_seconds)
@@ -97,10 +97,11 @@
         )
 
     def _known_at(self, beat):
-        """Return the time as of which the counts of a beat hold, or None."""
+        """Return the time as of which the counts of a heartbeat hold, or None."""
         known_at = beat.known_at_milliseconds / 1000
         # A time in the future was computed for the clock of a machine that this one
-        # has replaced. The answer to this beat gives the owner the present clock.
+        # has replaced. The answer to this heartbeat gives the owner the
+        # present clock.
         is_ahead = known_at > self._host.clock.monotonic()
         return None if is_ahead or not known_at else known_at
 
--- a/papayapick/entry/peers.py
+++ b/papayapick/entry/peers.py
@@ -129,8 +129,8 @@
         """Remove the row of a host that has not answered for a long time.
 
         Dozens of hosts a day are replaced permanently. For each row left behind, every
-        owner would keep a task and try to connect for ever. A host that was only cut
-        off reads that its row is gone and registers again.
+        owner would keep a task and try to connect for ever. A host that was only
+        partitioned reads that its row is gone and registers again.
         """
         expectation = Expectation(CELL_TABLE, HOSTS_PARTITION, peer.name, peer.version)
         write = RowWrite(CELL_TABLE, HOSTS_PARTITION, peer.name, None)
--- a/papayapick/entry/process.py
+++ b/papayapick/entry/process.py
@@ -1,4 +1,4 @@
-"""Create the parts of an entry host, connect them and run them."""
+"""Create, connect and run the components of an entry host."""
 
 import os
 import threading
--- a/papayapick/entry/store_health.py
+++ b/papayapick/entry/store_health.py
@@ -9,7 +9,7 @@
 
 
 class StoreHealth:
-    """Hold when the store last answered and since when it fails to answer.
+    """Track when the store last answered, and since when it has failed to answer.
 
     Parameters
     ----------
--- a/papayapick/jobs/schedule.py
+++ b/papayapick/jobs/schedule.py
@@ -1,4 +1,4 @@
-"""Open the occurrences of scheduled jobs at their times."""
+"""Open the occurrences of scheduled jobs at their due times."""
 
 __all__ = ["Schedule"]
 
--- a/papayapick/placement/rooms.py
+++ b/papayapick/placement/rooms.py
@@ -308,8 +308,8 @@
         """Return the workers to exclude because they fail the tasks they start.
 
         Such a worker is always empty and attracts each task that has no room elsewhere:
-        a job whose tasks could wait used up its four attempts there within half a
-        second, and failed. If many workers are failing, the cause is more likely
+        a job would use up four attempts there within half a second and fail, although
+        its tasks could wait. If many workers are failing, the cause is more likely
         elsewhere, and none is excluded.
         """
         failing = [room for room in self._rooms.values() if room.is_failing]
--- a/papayapick/placement/waves.py
+++ b/papayapick/placement/waves.py
@@ -1,10 +1,10 @@
 """Choose the machines of a wave that have their upkeep next, and drain them.
 
 A wave requires the upkeep of each of its machines within a time, and limits how many
-may be away at once. The upkeep ends all runs on a machine, so the machine is drained
-first: no task is placed there, short tasks run to their end, lasting ones are moved one
-by one as their step allows, and the others are stopped when the time for draining is
-over.
+may be out of service at once. The upkeep ends all runs on a machine, so the machine is
+drained first: no task is placed there, short tasks run to their end, lasting ones are
+moved one by one as their step allows, and the others are stopped when the time for
+draining is over.
 """
 
 from papayapick.jobs.runs import RunPhase
@@ -24,8 +24,8 @@
 _MAX_DRAIN_SECONDS = 8.0
 # Time that the order, the list of machines and a renewal add to one upkeep.
 _ROUND_SECONDS = 1.5
-# Share of the remaining time to plan with. The rest is a reserve for calls without an
-# answer.
+# Share of the remaining time that is planned. The rest is a reserve for calls without
+# an answer.
 _TIME_SHARE = 0.8
 
 
@@ -39,7 +39,7 @@
     seconds : float
         Time within which the upkeep of all of them must begin.
     at_once : int
-        Maximum number of machines that may be away at the same time.
+        Maximum number of machines that may be out of service at the same time.
     """
 
     __slots__ = ("at_once", "machines", "number", "seconds")
@@ -52,7 +52,7 @@
 
 
 class WaveRecord:
-    """Stored progress of an owner with a wave, which its successor reads.
+    """Progress of an owner's work on a wave, stored for its successor.
 
     Parameters
     ----------
@@ -160,8 +160,8 @@
         ),
         key=rank,
     )
-    away = in_upkeep | set(record.ordered)
-    return ordered_before + not_ordered[: max(0, wave.at_once - len(away))]
+    unavailable = in_upkeep | set(record.ordered)
+    return ordered_before + not_ordered[: max(0, wave.at_once - len(unavailable))]
 
 
 def drain_limit_seconds(remaining, machines_left, at_once, upkeep_seconds):
@@ -174,7 +174,7 @@
     machines_left : int
         Number of machines whose upkeep has not begun.
     at_once : int
-        Maximum number of machines that may be away at the same time.
+        Maximum number of machines that may be out of service at the same time.
     upkeep_seconds : float
 
     Returns
@@ -233,12 +233,12 @@
     limit = step.step.unavailable_limit
     if not limit or not _is_serving(run):
         return True
-    away = moved + sum(
+    unavailable = moved + sum(
         not any(_is_serving(one) for one in task.runs)
         for index, task in enumerate(step.tasks)
         if index != run.key.index
     )
-    return away < limit
+    return unavailable < limit
 
 
 def _is_serving(run):
--- a/papayapick/pool/advice_manager.py
+++ b/papayapick/pool/advice_manager.py
@@ -27,7 +27,7 @@
     Attributes
     ----------
     is_saturated : bool
-        Whether more steps wait for advice than the pool has capacity for, so that
+        Whether more steps wait for advice than the pool has room for, so that
         advice on a new step is not requested until its turn.
     """
 
@@ -71,7 +71,7 @@
         """Return whether advice on a step can be used now.
 
         Tickets expire. Once it is known which workers may not run the step, new ones
-        are requested only if one of the other workers has capacity for a task of it.
+        are requested only if one of the other workers has room for a task of it.
         Otherwise advice on steps that fit nowhere would be requested over and over,
         and would delay the requests for other steps.
         """
@@ -88,14 +88,14 @@
     def renew(self, step, free_in, now):
         """Request new tickets if the present ones expire before they can be used.
 
-        Requested only after they have expired, new ones could arrive later than the
-        capacity that is held for the step becomes free.
+        If new ones were requested only after that, they could arrive after the room
+        that is held for the step becomes free.
 
         Parameters
         ----------
         step : StepState
         free_in : float
-            Seconds until the capacity that is held for the step is free.
+            Seconds until the room that is held for the step is free.
         now : float
         """
         policy = step.job.queue.advice
@@ -124,7 +124,7 @@
         )
 
     def _candidates(self, step):
-        """Return the workers to include in a request, those with free capacity first.
+        """Return the workers to include in a request, those with most room first.
 
         A pool may have more workers than one call accepts. In the order of the list,
         every step would wait for the same first workers while the others are idle.
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -28,7 +28,7 @@
 __all__ = ["Decisions", "WaitReason"]
 
 
-# Steps usually get advice and capacity within this time; a longer wait is logged.
+# Steps usually get advice and room within this time; a longer wait is logged.
 _LOG_AFTER_SECONDS = 0.5
 # A log that covers only the last few seconds must still show what a step waits for.
 _LOG_AGAIN_SECONDS = 2.0
@@ -39,16 +39,16 @@
 
     # Advice has been requested.
     ADVICE = "advice"
-    # Steps ahead of it use up the capacity for which advice is requested.
+    # Steps ahead of it use up the room for which advice is requested.
     TURN = "turn"
-    # No worker that may run it has capacity: advice would expire unused.
+    # No worker that may run it has room: advice would expire unused.
     NO_FIT = "no-fit"
-    # No worker that may run it has capacity left in this round.
+    # No worker that may run it has room left in this round.
     ROOM = "room"
 
 
 class _PlacementRound:
-    """Hold the capacity that is left during one round of placement."""
+    """Hold the room that is left during one round of placement."""
 
     __slots__ = ("_most_free", "_roomy", "advice_budget", "holds", "now")
 
@@ -73,7 +73,7 @@
         """Return whether a task of a step may fit on a worker that may run it.
 
         Avoids a scan of all workers for each of the hundreds of steps whose tickets
-        are for full workers, while other workers have capacity.
+        are for full workers, while other workers have room.
 
         Parameters
         ----------
@@ -245,7 +245,7 @@
         return run
 
     def start_copies(self, now):
-        """Start second copies of stragglers on other workers with capacity."""
+        """Start second copies of stragglers on other workers with room."""
         for job in self._owner.job_registry.live_jobs():
             for step in job.steps():
                 for index in stragglers(step, now):
@@ -274,7 +274,7 @@
         )
 
     def preempt(self, now):
-        """Stop tasks of lower priority for the most urgent step without capacity."""
+        """Stop tasks of lower priority for the most urgent step without room."""
         overdue = [
             step
             for step in self._owner.job_registry.waiting_steps()
--- a/papayapick/pool/links.py
+++ b/papayapick/pool/links.py
@@ -52,7 +52,7 @@
         Number of the last end that was processed, and of the last end whose record
         is durable.
     born : int or None
-        Incarnation of the worker, as it reports it.
+        Incarnation of the worker: the start time of its process, as it reports it.
     failed_since : float or None
         Monotonic seconds at which the worker stopped answering; None while it answers.
     lapse_at : float
--- a/papayapick/pool/liveness.py
+++ b/papayapick/pool/liveness.py
@@ -1,8 +1,9 @@
-"""Tell crashed workers from partitioned ones by the platform's list of machines.
+"""Distinguish crashed workers from partitioned ones by the list of machines.
 
 The runs of a worker that doesn't answer may continue until its lease expires 3.7 s
-later; a new owner, which doesn't know that lease, waits 5.7 s. The list of machines
-shows at once that a worker crashed or was removed; a partitioned worker stays on it.
+later; a new owner, which doesn't know that lease, waits 5.7 s. The platform's list
+of machines shows at once that a worker crashed or was removed; a partitioned worker
+stays on it.
 """
 
 from papayapick.platform.exceptions import CallFailed
@@ -23,7 +24,7 @@
 
 
 class LivenessCheck:
-    """Give up the runs of silent workers that no machine runs any more.
+    """Treat the runs of silent workers as lost if no machine hosts the worker any more.
 
     Parameters
     ----------
@@ -47,7 +48,7 @@
                 self._owner.pause(_READ_INTERVAL_SECONDS)
 
     def check_once(self):
-        """Read the list of machines once and give up the silent workers it lacks."""
+        """Read the list of machines once; treat silent workers not on it as gone."""
         silent = self._silent_links()
         try:
             machines = self._machines.fetch()
@@ -94,7 +95,7 @@
     def _is_trusted(self, alive):
         """Return whether the list contains most of the workers that answer.
 
-        By an empty or outdated list, or one of another cell, all silent workers would
+        With a list that is empty, outdated or of another cell, all silent workers would
         count as gone, and the tasks of those that are only partitioned would run twice.
         """
         answering = {
--- a/papayapick/pool/loop.py
+++ b/papayapick/pool/loop.py
@@ -50,7 +50,7 @@
         if now - self._ticked_at >= _TICK_SECONDS:
             self._ticked_at = now
             self.tick(now)
-        # A placed task whose start can't be sent reserves capacity until its ticket
+        # A placed task whose start can't be sent reserves room until its ticket
         # expires. Placing more than can be sent would leave the pool nearly idle.
         if not self._owner.orders.is_backlogged():
             self._owner.decisions.place(now)
--- a/papayapick/pool/orders.py
+++ b/papayapick/pool/orders.py
@@ -120,8 +120,8 @@
     def stop(self, link, run):
         """Send a stop to a worker, unless a stop of this run is in progress."""
         with self._owner.lock:
-            # Stops that are repeated before the last one was sent would pile up faster
-            # than the threads can send them.
+            # Repeating a stop that has not been sent yet would queue stops faster than
+            # the threads can send them.
             if run not in self._stops_in_progress:
                 self._stops_in_progress.add(run)
                 self._submit(self._stop_executor, self._stop, link, run)
@@ -194,7 +194,7 @@
     def stop_once(self, run, now):
         """Send a stop of a run unless one was sent before.
 
-        The run's capacity stays reserved until its end is certain.
+        The run's room stays reserved until its end is certain.
         """
         if run.stop_requested is not None:
             return
@@ -259,7 +259,7 @@
                 self._stops_in_progress.discard(run)
 
     def _is_active(self, link, run):
-        """Return whether a run still reserves capacity on its worker."""
+        """Return whether a run still reserves room on its worker."""
         with self._owner.lock:
             room = self._owner.rooms.get(link.worker)
             return room is not None and room.runs.get(run.name) is run
@@ -277,7 +277,7 @@
         self.note_stop_confirmed(run)
         if run.phase == RunPhase.STOPPING and not run.was_listed:
             # The run may never have started. No end is reported for it then, and only
-            # a report requested after the stop shows that its capacity is free.
+            # a report requested after the stop shows that its room is free.
             link.refresh()
 
     @_log_errors
--- a/papayapick/pool/owner.py
+++ b/papayapick/pool/owner.py
@@ -39,7 +39,7 @@
 # thread costs only a small stack.
 _LOOP_THREADS = 4096
 # An unanswered start occupies its thread for 0.35 s; a stop and the report requested
-# after it take up to 1.2 s. Stops have a thread pool of their own: stops to unreachable
+# after it take up to 1.2 s. Stops have a thread pool of their own: stops to silent
 # workers would otherwise delay all starts until their tickets expire.
 _START_THREADS = 128
 _STOP_THREADS = 128
--- a/papayapick/pool/ownership_status.py
+++ b/papayapick/pool/ownership_status.py
@@ -1,4 +1,4 @@
-"""Whether an owner may still act for its pool, and whether it should be replaced."""
+"""Track whether an owner may still act for its pool or should be replaced."""
 
 __all__ = ["CONFIRMATION_VALID_SECONDS", "OwnershipStatus"]
 
@@ -19,7 +19,7 @@
 
 
 class OwnershipStatus:
-    """Hold when this host's ownership of a pool was last confirmed.
+    """Track when this host's ownership of a pool was last confirmed.
 
     Parameters
     ----------
--- a/papayapick/pool/reconciliation.py
+++ b/papayapick/pool/reconciliation.py
@@ -76,7 +76,7 @@
     def note_worker_gone(self, worker, now):
         """Stop holding tasks because of a worker that has crashed or left.
 
-        If it were treated as unreachable, all tasks of earlier owners would wait for
+        If it were treated as silent, all tasks of earlier owners would wait for
         the longest lease that it may have, although other workers are free.
         """
         self._gone_workers.add(worker)
--- a/papayapick/pool/recording.py
+++ b/papayapick/pool/recording.py
@@ -1,4 +1,4 @@
-"""The choice whether a start may be sent before its record is durable."""
+"""Decide whether a start may be sent before its record is durable."""
 
 import threading
 
@@ -15,7 +15,7 @@
 # records are complete.
 RECORDS_TRUSTED_SECONDS = 2.5
 # A host that did not answer for this long trusts no record. Longer than
-# RECORDS_TRUSTED_SECONDS, so that the host has given up its trust by then.
+# RECORDS_TRUSTED_SECONDS, so that the host no longer trusts the records by then.
 _SILENT_SECONDS = 3.0
 
 
@@ -26,8 +26,8 @@
     and waits only for the silent ones among these. While the store is slow or
     unavailable, that would stop all work, and starts are sent without a record.
     A successor must know of that: it would otherwise place a task that already runs
-    on a silent worker. Therefore every host is told first that records may be missing,
-    in the owner's heartbeats, and a host without a recent heartbeat trusts no record.
+    on a silent worker. Therefore the owner's heartbeats first announce to every host
+    that records may be missing, and a host without a recent heartbeat trusts no record.
 
     Parameters
     ----------
--- a/papayapick/pool/run_monitor.py
+++ b/papayapick/pool/run_monitor.py
@@ -1,7 +1,7 @@
 """Detection of stalled and slow runs, and of the workers that cause them.
 
 A run that stalls or falls far behind is stopped, so that its task starts on another
-worker, and its worker is marked as suspect and used last.
+worker, and its worker is marked as suspected and used last.
 """
 
 from papayapick.placement.progress import (
@@ -47,8 +47,8 @@
             for step in job.steps():
                 for run in stalled_runs(step):
                     self._replace(step, run, now)
-                slow, healthy = compare_runs(step)
-                for run in healthy:
+                slow, normal = compare_runs(step)
+                for run in normal:
                     self._slowness.note_normal(run, now)
                 for run in slow:
                     if self._slowness.note_slow(run, now):
@@ -111,7 +111,7 @@
         room.mark_suspected(now, SUSPECT_SECONDS, is_failing)
 
     def _has_alternative(self, step, run):
-        """Return whether another healthy worker has capacity for a run's task now."""
+        """Return whether another healthy worker has room for a run's task now."""
         allowed = None
         if step.job.queue.advice is not None:
             allowed = self._owner.advice_manager.tickets(step, now=self._owner.now())
--- a/papayapick/pool/status_feed.py
+++ b/papayapick/pool/status_feed.py
@@ -1,4 +1,4 @@
-"""Give the job statuses and queue backlogs of a pool that callers may see."""
+"""Provide the job statuses and queue backlogs of a pool that callers may see."""
 
 import collections
 import math
@@ -107,10 +107,10 @@
                 useful[queue] += useful_seconds(job)
                 # A job that waits for its due time adds no load yet.
                 ready[queue] += not job.document.is_timed
-        gauge = self._owner.decisions.backlog
+        monitor = self._owner.decisions.backlog
         backlogs = {}
         for queue, count in counts.items():
-            backlog = gauge.backlog(queue, ready[queue], now, useful[queue] / count)
+            backlog = monitor.backlog(queue, ready[queue], now, useful[queue] / count)
             backlog.waiting = count
             backlogs[queue] = backlog
         return backlogs
--- a/papayapick/pool/store_sync.py
+++ b/papayapick/pool/store_sync.py
@@ -17,7 +17,7 @@
 
 # Each worker rewrites its entry about every second, mostly unchanged: one call for each
 # change would be most of an owner's load on the store. A leaving worker stays for some
-# seconds, and gets no new tasks well before they are over.
+# seconds, so a delayed change still ends new tasks well before it exits.
 _WORKERS_GATHER_SECONDS = 0.4
 
 
