--- a/tests/entry/test_beats.py
+++ b/tests/entry/test_beats.py
@@ -1,4 +1,4 @@
-"""Sending an owner's beats, in particular to a host that no longer answers."""
+"""Sending an owner's heartbeats, in particular to a host that no longer answers."""
 
 import threading
 from types import SimpleNamespace
@@ -122,7 +122,7 @@
 def test_beats_to_all_hosts_are_sent_at_once_when_an_owner_leaves(sender):
     """Guards against a handover to a small host instead of the largest one.
 
-    A stopping owner asks for a successor in its beats. If these were sent at their
+    A stopping owner asks for a successor in its heartbeats. If these were sent at their
     intervals, up to 0.2 s apart, a small host that was notified first would take the
     pool before the largest host, which takes it without delay, was notified.
     """
@@ -196,8 +196,8 @@
 def test_host_that_registers_again_receives_beats_again(two_pools):
     """Guards against a takeover from a working owner.
 
-    A host that registered again under the same name and address received no beats and
-    considered the owner silent.
+    A host that registered again under the same name and address received no heartbeats
+    and considered the owner silent.
     """
     broadcaster, _ = two_pools
     host = broadcaster._host
--- a/tests/entry/test_candidacy.py
+++ b/tests/entry/test_candidacy.py
@@ -118,7 +118,7 @@
 ):
     """Guards against a needless takeover at each restart of a host.
 
-    The restarted process had received no beat yet, so it suspected the owner; its
+    The restarted process had received no heartbeat yet, so it suspected the owner; its
     second check took the pool though the first had found the owner listening.
     """
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
@@ -140,12 +140,12 @@
 def test_beat_that_arrives_during_the_check_ends_it(
     monkeypatch, candidacy, rows, taken, read
 ):
-    """Guards against a takeover from an owner that has just sent its first beat.
+    """Guards against a takeover from an owner that has just sent its first heartbeat.
 
     A host that has just started suspects the owner in the first row that it reads. If
-    the owner's beat arrives while the row is read again, the row becomes one whose
-    owner is expected to send beats, so the owner was not queried. In the log this shows
-    as `owner suspected` with `is_reported` 0.1 s after the start, without `host
+    the owner's heartbeat arrives while the row is read again, the row becomes one whose
+    owner is expected to send heartbeats, so the owner was not queried. In the log this
+    shows as `owner suspected` with `is_reported` 0.1 s after the start, without `host
     unreached`, and `pool left` at the owner 0.04 s later.
     """
     rows[0] = PoolRow("pool", "h2", 3, "127.0.0.1:9", 7)
@@ -179,7 +179,7 @@
 
 
 def test_restarted_host_takes_the_pool_of_a_dead_owner_at_once(candidacy, rows, taken):
-    """Guards against waiting for beats of an owner that lost power with all hosts."""
+    """Guards against waiting for an owner's heartbeats after all hosts lost power."""
     rows[0] = PoolRow("pool", "h2", 3, "127.0.0.1:9", 7)
     candidacy._host.not_owning.add("127.0.0.1:9")
     _check_owner(candidacy)
@@ -195,7 +195,7 @@
 def test_silent_owner_is_replaced(candidacy, rows, taken, listener):
     """Guards against jobs that wait for a frozen owner.
 
-    Its connections are still accepted, but it sends no more beats.
+    Its connections are still accepted, but it sends no more heartbeats.
     """
     rows[0] = PoolRow("pool", "h2", 3, listener, 7)
     _check_owner(candidacy)
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -55,7 +55,7 @@
 
 
 class OwnerWithPeer:
-    """Own a pool in which one job waits, and send beats to another host.
+    """Own a pool in which one job waits, and send heartbeats to another host.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
         self.sender = BeatSender(self.host, self.owner, self)
 
     def ask(self, beat, seconds):
-        """Deliver a beat to the other host, or fail if it is cut off."""
+        """Deliver a heartbeat to the other host, or fail if it is cut off."""
         self.beats.append(beat)
         if self.is_cut_off:
             raise PeerTimeout(address=("10.0.0.2", 7720), seconds=seconds)
@@ -134,10 +134,10 @@
 
 
 def test_second_beat_carries_the_count(host, owning):
-    """Guards against counts that are missing until several beats have been sent.
+    """Guards against counts that are missing until several heartbeats have been sent.
 
-    The owner knows the host's clock after the first answer, and sends the next beat at
-    once.
+    The owner knows the host's clock after the first answer, and sends the next
+    heartbeat at once.
     """
     owning.beat()
     assert owning.sender._wakeup.is_set()
@@ -168,7 +168,7 @@
 def test_count_of_an_owner_that_does_not_receive_new_jobs_expires(host, owning):
     """Guards against counts that are too low.
 
-    The owner still sends beats, but accepted jobs do not reach it.
+    The owner still sends heartbeats, but accepted jobs do not reach it.
     """
     owning.beat()
     for _ in range(11):
@@ -192,7 +192,7 @@
 
 
 def test_count_in_a_delayed_message_is_not_reported_as_recent(host, owning):
-    """Guards against beats that arrive seconds late after a network partition."""
+    """Guards against heartbeats that arrive seconds late after a network partition."""
     owning.beat()
     owning.beat()
     late = owning.beats[-1]
@@ -202,7 +202,7 @@
 
 
 def test_earlier_message_of_the_same_owner_does_not_replace_a_later_one(host):
-    """Guards against an older count if beats of two connections arrive out of order."""
+    """Guards against an older count if heartbeats on two connections are reordered."""
     now = host.clock.monotonic()
     host.job_states.note_backlogs("pool", 3, {"q": QueueBacklog(58)}, known_at=now)
     host.job_states.note_backlogs("pool", 3, {}, known_at=now - 0.5)
--- a/tests/entry/test_peer_requests.py
+++ b/tests/entry/test_peer_requests.py
@@ -1,4 +1,4 @@
-"""Answers to an owner's beat, by which the owner stays confirmed or stops."""
+"""Answers to an owner's heartbeat, by which the owner stays confirmed or stops."""
 
 from types import SimpleNamespace
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def beat(host, candidacy):
-    """Return a function that sends an owner's beat to the host."""
+    """Return a function that sends an owner's heartbeat to the host."""
     handler = PeerRequestHandler(host, {"pool": candidacy}, None)
 
     def send(owner, epoch, pool="pool"):
@@ -55,8 +55,8 @@
 def test_host_that_knows_a_newer_owner_does_not_confirm_the_old_one(beat, candidacy):
     """Guards against a replaced owner that sends orders for two more seconds.
 
-    The host that confirmed it had received a beat of the newer owner, but had not yet
-    read its row.
+    The host that confirmed it had received a heartbeat of the newer owner, but had not
+    yet read its row.
     """
     candidacy.note_row(PoolRow("pool", "h2", 2, "a:1", 7))
     beat("h3", 3)
--- a/tests/entry/test_processes.py
+++ b/tests/entry/test_processes.py
@@ -362,9 +362,9 @@
 
 
 def test_host_whose_row_was_removed_registers_again(cluster, cell):
-    """Guards against a host without beats after it was cut off for ten minutes.
+    """Guards against a host without heartbeats after it was cut off for ten minutes.
 
-    The owner has removed its row, and sends beats to registered hosts only.
+    The owner has removed its row, and sends heartbeats to registered hosts only.
     """
     place = ("cell", "hosts", "host-2")
     wait_for(lambda: place in cluster.rows.rows)
--- a/tests/entry/test_takeover_backlogs.py
+++ b/tests/entry/test_takeover_backlogs.py
@@ -32,8 +32,8 @@
 def test_owner_that_has_not_read_its_state_does_not_report_empty_queues():
     """Guards against a count of 0 for a queue in which hundreds of jobs wait.
 
-    A new owner sends beats before it has read its state, which takes a second for a
-    large pool, so that no other host takes the pool in turn. These beats list no
+    A new owner sends heartbeats before it has read its state, which takes a second for
+    a large pool, so that no other host takes the pool in turn. These heartbeats list no
     queue, which must not be read as queues without waiting jobs.
     """
     clock = ManualClock(100.0)
