--- a/papayapick/jobs/outcomes.py
+++ b/papayapick/jobs/outcomes.py
@@ -152,12 +152,12 @@
 
     def _note_failure(self, step, key, attempt, worker, now):
         task = step.tasks[key.index]
-        counted = step.tasks[0] if step.step.is_gang else task
+        counted_task = step.tasks[0] if step.step.is_gang else task
         task.failed_on.add(worker)
-        counted.failed_attempts.add(attempt)
+        counted_task.failed_attempts.add(attempt)
         if step.step.is_lasting:
             return
-        if counted.failures >= step.job.queue.failure_limit:
+        if counted_task.failures >= step.job.queue.failure_limit:
             step.job.failed_task, step.job.failed_worker = key, worker
             self._registry.finish(step.job, JobStatus.FAILED, now)
 
--- a/papayapick/pool/decisions.py
+++ b/papayapick/pool/decisions.py
@@ -50,24 +50,24 @@
 class _PlacementRound:
     """Hold the room that is left during one round of placement."""
 
-    __slots__ = ("_most_free", "_roomy", "advice_budget", "holds", "now")
+    __slots__ = ("_max_free", "_usable_rooms", "advice_budget", "holds", "now")
 
     def __init__(self, owner, steps, now):
         self.now = now
         self.advice_budget = AdviceBudget(owner.rooms)
         self.holds = Holds(owner.rooms, owner.job_registry.step_of, now)
         # At the start of the round: an upper bound for the rest of it.
-        self._most_free = owner.rooms.max_free()
-        least = _least_demand(steps)
-        self._roomy = {
+        self._max_free = owner.rooms.max_free()
+        min_demand = _min_demand(steps)
+        self._usable_rooms = {
             room.worker: room
             for room in owner.rooms
-            if room.is_open and room.has_room(least)
+            if room.is_open and room.has_room(min_demand)
         }
 
     def may_fit(self, step):
         """Return whether a task of a step may fit on any worker."""
-        return step.step.room_demand.fits_in(self._most_free)
+        return step.step.room_demand.fits_in(self._max_free)
 
     def may_fit_on(self, step, allowed):
         """Return whether a task of a step may fit on a worker that may run it.
@@ -86,11 +86,11 @@
         if allowed is None:
             return True
         demand = step.step.room_demand
-        roomy = self._roomy.keys() & allowed.keys()
-        return any(self._roomy[worker].has_room(demand) for worker in roomy)
+        usable = self._usable_rooms.keys() & allowed.keys()
+        return any(self._usable_rooms[worker].has_room(demand) for worker in usable)
 
 
-def _least_demand(steps):
+def _min_demand(steps):
     """Return, for each resource, the smallest amount that a task of any step needs."""
     demands = [step.step.room_demand for step in steps]
     return Amounts(
@@ -158,7 +158,7 @@
 
     def _place_step(self, step, allowed, current):
         if current.may_fit_on(step, allowed):
-            runs = place_step(step, self._owner.rooms, allowed, self._begin)
+            runs = place_step(step, self._owner.rooms, allowed, self._begin_run)
             self._queue_starts(step, runs, allowed or {})
             if runs:
                 self._log_placed(step, runs, current.now)
@@ -231,7 +231,7 @@
             asked_seconds=None if asked is None else round(asked, 3),
         )
 
-    def _begin(self, step, index, worker, attempt):
+    def _begin_run(self, step, index, worker, attempt):
         now = self._owner.now()
         if step.job.status == JobStatus.WAITING and not step.job.has_placed_task:
             step.job.has_placed_task = True
@@ -264,7 +264,7 @@
         room = self._owner.rooms.choose(step, index, allowed)
         if room is None or room.worker == slow:
             return
-        run = self._begin(step, index, room.worker, None)
+        run = self._begin_run(step, index, room.worker, None)
         self._queue_starts(step, [run], allowed or {}, is_resumed=False)
         COPY_STARTED.write(
             **run_fields(run),
--- a/tests/pool/test_last_resort.py
+++ b/tests/pool/test_last_resort.py
@@ -63,7 +63,7 @@
     owner.job_registry.add(low_priority, QUEUE, host.clock.monotonic())
     (other,) = (one for one in owner.job_registry.waiting_steps() if one is not step)
     for index in range(4):
-        run = owner.decisions._begin(other, index, "w1", None)
+        run = owner.decisions._begin_run(other, index, "w1", None)
         owner.job_registry.note_started(run)
     assert place(owner) == []
     stoppable = StoppableRuns(owner.rooms, lambda run: 1)
