--- a/tests/contracts/test_cluster.py
+++ b/tests/contracts/test_cluster.py
@@ -1,4 +1,4 @@
-"""The clients of the users' platform, against its stand-in over HTTP."""
+"""Tests of the clients of the users' platform against its stand-in over HTTP."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 @pytest.fixture
 def cluster(server):
     server.reset()
-    # None of them returns within a test.
+    # Longer than a test takes, so that no machine returns during a test.
     server.machines.upkeep_seconds = 60.0
     return server
 
@@ -67,7 +67,7 @@
     assert store.read(TABLE, PART).rows[0].value == {"n": 1}
 
 
-def test_deletion_is_followed_as_such(store):
+def test_followed_deletion_is_marked_as_deleted(store):
     first = store.transact([], [_write("a", {"n": 1})])
     store.transact([], [_write("a", None)])
     (row,) = store.follow(TABLE, first, 0.1).rows
@@ -75,7 +75,7 @@
     assert row.value is None
 
 
-def test_lost_history_is_told(cluster, store):
+def test_follow_after_lost_history_raises(cluster, store):
     first = store.transact([], [_write("a", {"n": 1})])
     store.transact([], [_write("a", {"n": 2})])
     cluster.rows.discard_history()
@@ -97,11 +97,11 @@
         store.transact([], [_write("a", {})])
 
 
-def test_lost_answer_is_told_apart_from_a_refusal(cluster, store):
-    """A caller is told "not run" and the job runs all the same.
+def test_lost_answer_is_distinguished_from_a_refusal(cluster, store):
+    """Guard against a caller that gets "not run" although its job runs.
 
-    The store applied the write and its answer was lost; taken for a refusal, the
-    host would tell the caller what is not true.
+    The store applied the write and its answer was lost. If this counted as a refusal,
+    the host would report a false outcome to the caller.
     """
     cluster.rows.answers_to_lose = 1
     with pytest.raises(TableUnavailable) as caught:
@@ -163,17 +163,18 @@
 
 
 def test_start_after_its_stop_is_refused(client):
-    """A task runs twice: its order was carried out seconds after its owner gave up.
+    """Guard against a task that runs twice because its start is executed late.
 
-    A stop that was answered makes the later start fail, so the owner may place
-    the task elsewhere.
+    The worker executed the start order seconds after the owner had given up on it. An
+    acknowledged stop makes a later start fail, so the owner may place the task on
+    another worker.
     """
     end = _lease(client)
     client.stop(KEY, 1, 1)
     assert client.start(_run(), "payload", end, 1) == StartOutcome.OUTDATED
 
 
-def test_start_under_a_lease_that_is_over_is_refused(client):
+def test_start_under_an_expired_lease_is_refused(client):
     end = client.renew(1, 0).clock - 1
     assert client.start(_run(), "payload", end, 1) == StartOutcome.EXPIRED
 
@@ -230,15 +231,15 @@
     assert decode_registration("w1", entry) is None
 
 
-def test_worker_that_answers_nonsense_is_silent(worker, client):
-    """All jobs of a pool stand still: one worker's list could not be read."""
+def test_worker_with_an_invalid_answer_is_silent(worker, client):
+    """Guard against a pool that starts no jobs as one worker's answer is invalid."""
     worker._body = lambda **fields: {"running": 7}
     with pytest.raises(WorkerSilent):
         client.renew(1, 0)
 
 
 class SilentPool:
-    """Answer nothing, and keep how long an answer was waited for."""
+    """Answer no request, and record the timeout of each."""
 
     def __init__(self):
         self.waited = []
@@ -248,11 +249,12 @@
         raise AnswerMissing(url=url)
 
 
-def test_renewal_without_an_answer_is_given_up_soon():
-    """The second step of a count starts 1.6 s late: nobody saw that the first ended.
+def test_waiting_renewal_has_a_short_timeout():
+    """Guard against a step that starts 1.6 s late after an unanswered renewal.
 
-    The worker left one renewal unanswered. It waits for an end, and all that the
-    worker has to tell waits with it; a call that only looks may take longer.
+    The end of the previous step was not seen, as the worker left one renewal
+    unanswered. A renewal that waits for the end of a run delays all reports of the
+    worker, so it times out sooner than a renewal that returns the current state.
     """
     pool = SilentPool()
     client = WorkerClient("w1", "w1:1", pool)
@@ -294,18 +296,18 @@
         ("200 OK", []),
     ],
 )
-def test_part_of_the_list_is_no_list(cluster, pool, monkeypatch, answer):
-    """Tasks run twice: a worker that is cut off was taken for gone.
+def test_incomplete_list_of_machines_raises(cluster, pool, monkeypatch, answer):
+    """Guard against tasks that run twice as an unreachable worker counts as gone.
 
-    The page that names it was missing, unreadable, or refused by a service that is
-    overloaded; what the other pages lack tells nothing.
+    The page that lists the worker was missing, invalid, or refused by an overloaded
+    service. Its absence from the other pages does not prove that it is gone.
     """
     monkeypatch.setattr(cluster.machines, "list", lambda query: answer)
     with pytest.raises(CallFailed):
         MachineClient(cluster.address, pool).fetch()
 
 
-def test_upkeep_begins_once_and_is_told_again(cluster, pool):
+def test_repeated_upkeep_order_is_answered_but_begins_once(cluster, pool):
     cluster.add_worker("w1")
     cluster.request_wave(7, ["w1"])
     machines = MachineClient(cluster.address, pool)
@@ -325,7 +327,7 @@
         ("m-w9", 7, 4, UpkeepOutcome.NO_MACHINE),
     ],
 )
-def test_refusal_of_an_upkeep_is_told_by_its_reason(
+def test_refused_upkeep_returns_the_outcome_of_its_reason(
     cluster, pool, machine, wave, epoch, outcome
 ):
     cluster.add_worker("w1")
@@ -333,7 +335,7 @@
     cluster.crash("w2")
     cluster.request_wave(7, ["w1", "w2"])
     machines = MachineClient(cluster.address, pool)
-    # A newer owner has spoken of this machine.
+    # An order of a newer owner raises the machine's fencing token.
     machines.begin_upkeep("m-w1", 99, "h2", 3)
     assert machines.begin_upkeep(machine, wave, "h1", epoch) == outcome
 
--- a/tests/contracts/test_faults.py
+++ b/tests/contracts/test_faults.py
@@ -1,4 +1,4 @@
-"""Every stand-in takes every kind of fault by the control route."""
+"""Tests that every kind of fault can be injected into every stand-in over HTTP."""
 
 import json
 
@@ -17,7 +17,8 @@
 }
 
 
-# "leave" is no fault: a backend server announces that it leaves.
+# The kind "leave" is excluded below: it only adds the announcement that a backend
+# server is leaving to its answers.
 
 
 class Body:
@@ -39,7 +40,7 @@
 
 @pytest.mark.parametrize("target", CALLS)
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - {"leave"}))
-def test_every_stand_in_takes_every_fault(target, kind):
+def test_every_stand_in_supports_every_fault(target, kind):
     platform = Platform(service_seconds=0)
     platform.workers.add("w", {})
     platform.instances.add("i", "counts")
@@ -48,7 +49,7 @@
     fault = {"target": target, "kind": kind, "value": 1}
     assert call(platform, "/control/faults", fault) == 200
     is_slow = kind in ("slow", "freeze")
-    # Reading the list has no effect whose answer could be lost.
+    # Reading the host list has no effect, so it does not support lost answers.
     is_answered = is_slow or (target, kind) == ("hosts", "lose_answers")
     status = call(platform, *CALLS[target])
     assert (status < 300) == is_answered
--- a/tests/contracts/test_store.py
+++ b/tests/contracts/test_store.py
@@ -1,7 +1,7 @@
-"""Run one table of fault cases against the fakes and the same through HTTP.
+"""Run the same fault cases on the in-memory store, directly and over HTTP.
 
-Whoever writes another platform behind ``TableProtocol`` or ``ObjectsProtocol``
-adds it to ``KINDS``.
+Another implementation of ``TableProtocol`` or ``ObjectsProtocol`` is tested by
+adding it to ``KINDS``.
 """
 
 import threading
@@ -30,7 +30,7 @@
 
 
 class Store:
-    """A platform's table and objects, with its faults and what is stored."""
+    """Table and objects of a platform, with access to its faults and stored rows."""
 
     def __init__(self, kind, server):
         self.platform = Platform(service_seconds=0)
@@ -45,7 +45,7 @@
             self.objects = ObjectStore(f"{server.url}/objects", self.pool)
 
     def stored(self, key=KEY):
-        """Return the value of a row, past all faults."""
+        """Return the stored value of a row without injected faults."""
         row = self.platform.table.rows.get(key)
         return row and row.value
 
@@ -55,7 +55,7 @@
 
 
 class Server:
-    """Serve the platform of the present test on an ephemeral port."""
+    """Serve the platform of the current test on an ephemeral port."""
 
     def __init__(self):
         self.platform = None
@@ -129,8 +129,9 @@
     ids=[case[0] for case in CASES],
 )
 def test_a_transaction_under_a_fault(store, operation, faults, error, value):
-    """A caller's shard is claimed while the table fails in each way: the error
-    must tell whether nothing was written, or that nobody knows.
+    """A transaction runs while the table fails in each way.
+
+    Its error must tell a conflict, which wrote nothing, from an unknown outcome.
     """
     create(store)
     for kind, how in faults.items():
@@ -145,8 +146,9 @@
 
 
 def test_a_retry_after_a_lost_answer_conflicts_with_its_own_write(store):
-    """The write took effect and its answer was lost. A bare retry meets its
-    own write as a conflict; the row, not the error, tells who wrote it.
+    """The write took effect and its answer was lost.
+
+    A plain retry conflicts with its own write; only the row shows who wrote it.
     """
     create(store)
     store.board.set("table", "lose_answers", 1)
@@ -157,9 +159,11 @@
     assert conflict.value.details == {"key": KEY}
 
 
-def test_a_conflict_is_not_settled_into_a_success(store):
-    """Two writers race and the loser's answer is lost as well: the marker in
-    the row is the winner's, so the loser must hear of the conflict.
+def test_a_conflict_is_not_settled_as_a_success(store):
+    """Another writer has changed the row before the transaction.
+
+    The marker in the row is that of the other writer, so the settled transaction must
+    raise the conflict.
     """
     create(store)
     replace(store)
@@ -169,9 +173,10 @@
 
 @pytest.mark.parametrize("operation", ["read", "scan"])
 @pytest.mark.parametrize("fault", ["down", "fail", "lose_answers"])
-def test_a_read_under_a_fault_says_unavailable(store, operation, fault):
-    """A table that does not answer must not look like a table without rows:
-    a placer would take every shard for unowned.
+def test_a_read_under_a_fault_raises_unavailable(store, operation, fault):
+    """A table that does not answer must not look like an empty table.
+
+    A placer would assume that no shard has an owner.
     """
     create(store)
     store.board.set("table", fault, 1 if fault == "lose_answers" else True)
@@ -193,7 +198,7 @@
 
 
 def test_of_two_writers_at_once_one_wins(store):
-    """Two operators accept at the same moment: one write, one typed conflict."""
+    """Two concurrent writers: one succeeds, the other gets TransactionConflict."""
     create(store)
     with ThreadPoolExecutor(2) as executor:
         futures = [executor.submit(replace, store) for _ in range(2)]
@@ -205,8 +210,9 @@
 
 
 def test_a_frozen_table_takes_effect_late(store):
-    """The table is frozen while a claim is under way, and goes on afterwards.
-    Over HTTP the writer has given up by then: unknown, and then done.
+    """The table freezes during a write and applies it once it continues.
+
+    Over HTTP the writer has timed out by then, so the outcome was unknown to it.
     """
     create(store)
     store.board.set("table", "freeze")
@@ -221,7 +227,7 @@
         threading.Event().wait(0.005)
 
 
-def test_an_object_is_kept_by_its_name(store):
+def test_an_object_is_stored_by_its_name(store):
     store.objects.put("bundle/ab", b"\x00bytes")
     store.objects.put("bundle/ab", b"\x00bytes")
     assert store.objects.get("bundle/ab") == b"\x00bytes"
@@ -233,8 +239,8 @@
 
 
 @pytest.mark.parametrize("fault", ["down", "fail"])
-def test_objects_under_a_fault_say_unavailable(store, fault):
-    """An outage must not look like a bundle that was never rolled."""
+def test_objects_under_a_fault_raise_unavailable(store, fault):
+    """An outage must not look like a missing bundle."""
     store.objects.put("bundle/ab", b"1")
     store.board.set("objects", fault)
     with pytest.raises(ObjectsUnavailable):
@@ -244,8 +250,8 @@
     assert list(store.platform.objects.objects) == ["bundle/ab"]
 
 
-def test_a_frozen_object_store_is_given_up_over_http(server):
-    """A frozen store must not hold a process's thread for ever."""
+def test_a_frozen_object_store_times_out_over_http(server):
+    """A frozen store must not block a thread of its client forever."""
     store = Store("over HTTP", server)
     store.board.set("objects", "freeze")
     with pytest.raises(ObjectsUnavailable):
--- a/tests/spec/test_journal_replay.py
+++ b/tests/spec/test_journal_replay.py
@@ -1,4 +1,4 @@
-"""Replay the counterexamples of spec/journal.py against the real journal."""
+"""Replay counterexamples of the specification in spec/journal.py on the journal."""
 
 import random
 import threading
@@ -30,35 +30,35 @@
 
 
 class Backend:
-    """Count calls, look at the journal at each, and answer as a test says."""
+    """Record each call with the journaled state of its work, and answer it or not."""
 
-    def __init__(self, life):
-        self.life = life
+    def __init__(self, owner):
+        self.owner = owner
         self.calls = []
         self.states = []
         self.is_silent = False
 
     def call(self, url, request_id, epoch, payload, seconds, *rest, **more):
         self.calls.append(request_id)
-        self.states.append(self.life.journaled().get(request_id).state)
+        self.states.append(self.owner.journaled().get(request_id).state)
         if self.is_silent:
             raise AnswerMissing(url=url)
         return HttpAnswer(200, {"Content-Type": "application/json"}, b"{}")
 
 
 class Slots:
-    """Grant every slot at once."""
+    """Grant every slot immediately."""
 
     def acquire(self, policy, *rest, **more):
         granted = SlotGrant(instance="one", url="http://one", epoch=1, grant_id=1)
         return SimpleNamespace(granted=granted, check_usable=lambda now: None)
 
     def release(self, grant, outcome, seconds, **more):
-        """Keep no count."""
+        """Do nothing, as grants are not counted."""
 
 
-class Life:
-    """Hold one owner's real journal, desk and runner over a scripted table."""
+class SimulatedOwner:
+    """Run the real journal, dispatcher and runner of an owner on a scripted table."""
 
     def __init__(self, table, owner="placer-a"):
         self.clock = ManualClock()
@@ -78,16 +78,18 @@
         bucket = TokenBucket(1000, 1000, self.clock)
         self.shard = Shard(row, self.process, bucket, lambda shard: shard.close())
         self.shard.use_journal(read_journal(table, self.process.objects, SHARD))
-        self.desk = WorkDispatcher(self.process)
+        self.dispatcher = WorkDispatcher(self.process)
         self.backend = Backend(self)
-        self.runner = RequestRunner(self.process, Slots(), self.backend, self.desk)
+        self.runner = RequestRunner(
+            self.process, Slots(), self.backend, self.dispatcher
+        )
 
     def journaled(self):
-        """Return what a successor would read."""
+        """Return the work index that a successor would read from the journal."""
         return read_journal(self.table, self.process.objects, SHARD).work_index
 
     def submit(self, policy, steps=()):
-        """Submit work "r"; the write of its acceptance goes as ``steps`` say."""
+        """Submit work "r"; ``steps`` script the write of its acceptance."""
         wanted = Submit(
             shard=SHARD,
             request_id="r",
@@ -97,19 +99,19 @@
             deadline_milliseconds=int(DEADLINE * 1000),
             wait_milliseconds=0,
         )
-        answer = self.desk.submit(self.shard, wanted, policy)
+        answer = self.dispatcher.submit(self.shard, wanted, policy)
         self.table.steps += steps
         self.shard.journal.write_segment()
         return answer
 
     def append(self, record):
-        """Journal a record at once."""
+        """Append a record and write its segment."""
         entry = self.shard.journal.append(record)
         self.shard.journal.write_segment()
         return entry
 
     def run(self, item):
-        """Run work once, with the journal's own task beside it."""
+        """Run work once while the journal's writer runs in another thread."""
         task = self.executor.submit(self.shard.journal.run)
         self.runner.run(self.shard, item)
         self.shard.journal.flush()
@@ -122,72 +124,79 @@
 
 
 @pytest.fixture
-def life():
-    found = Life(ScriptedTable())
+def owner():
+    found = SimulatedOwner(ScriptedTable())
     yield found
     found.shard.journal.close()
     found.executor.shutdown()
 
 
 @pytest.mark.parametrize(("step", "arrives"), [(DONE_UNANSWERED, True), (LATE, False)])
-def test_an_unanswered_accept_is_unknown_until_it_is_settled(life, step, arrives):
-    """The table takes the accept and its answer is lost, or takes it late. A
-    caller who hears "not run" retries, and the work runs twice.
+def test_an_unanswered_accept_is_unknown_until_it_is_settled(owner, step, arrives):
+    """The table applies the accept and its answer is lost, or applies it late.
+
+    A caller that gets "not run" would retry, and the work would run twice.
     """
-    answer = life.submit(ONCE, [step])
+    answer = owner.submit(ONCE, [step])
     with pytest.raises(JournalUnsettled) as unsettled:
         answer.result(0)
     assert unsettled.value.outcome == "unknown"
-    for _ in range(len(life.table.late)):
-        # The empty segment under the same key stands in its way for good.
+    for _ in range(len(owner.table.late)):
+        # The empty segment written under the same key makes the late write conflict.
         with pytest.raises(TransactionConflict):
-            life.table.apply_late()
-    assert len(life.journaled()) == arrives
-    assert len(life.shard.work_index) == arrives
+            owner.table.apply_late()
+    assert len(owner.journaled()) == arrives
+    assert len(owner.shard.work_index) == arrives
+
 
+def test_nothing_is_sent_before_the_start_is_durable(owner):
+    """The owner dies just after the send.
 
-def test_nothing_is_sent_before_the_start_is_durable(life):
-    """The owner dies just after the send. Had the start not been journaled,
-    the successor would find the work waiting and run it a second time.
+    Without a journaled start, the successor would find the work waiting and run it a
+    second time.
     """
-    life.submit(ONCE)
-    life.run(life.item)
-    assert life.backend.calls == ["r"]
-    assert life.backend.states == ["running"]
-    assert life.journaled().get("r").ended.outcome == "done"
+    owner.submit(ONCE)
+    owner.run(owner.item)
+    assert owner.backend.calls == ["r"]
+    assert owner.backend.states == ["running"]
+    assert owner.journaled().get("r").ended.outcome == "done"
 
 
-def test_nothing_is_sent_while_the_start_is_unsettled(life):
-    """The answer to the start's write is lost. Sent at once, the work runs,
-    though the journal may hold no start, and a successor runs it again.
+def test_nothing_is_sent_while_the_start_is_unsettled(owner):
+    """The answer to the start's write is lost.
+
+    If the work were sent now, the journal might contain no start, and a successor
+    would run the work again.
     """
-    life.submit(ONCE)
-    life.table.steps.append(LATE)
-    life.run(life.item)
-    assert life.backend.calls == []
+    owner.submit(ONCE)
+    owner.table.steps.append(LATE)
+    owner.run(owner.item)
+    assert owner.backend.calls == []
     with pytest.raises(TransactionConflict):
-        life.table.apply_late()
-    assert life.journaled().get("r").state == "waiting"
+        owner.table.apply_late()
+    assert owner.journaled().get("r").state == "waiting"
+
 
+def test_a_call_without_an_answer_is_not_retried(owner):
+    """The backend server bills a fee and its answer is lost.
 
-def test_an_answer_that_does_not_come_is_not_tried_again(life):
-    """The backend server bills the fee and its answer is lost; a second try
-    would bill the member twice.
+    A second attempt would bill the fee twice.
     """
-    life.submit(ONCE)
-    life.backend.is_silent = True
-    life.run(life.item)
-    assert life.backend.calls == ["r"]
-    assert life.journaled().get("r").ended.outcome == "unknown"
+    owner.submit(ONCE)
+    owner.backend.is_silent = True
+    owner.run(owner.item)
+    assert owner.backend.calls == ["r"]
+    assert owner.journaled().get("r").ended.outcome == "unknown"
 
 
-def test_a_successor_does_not_run_what_was_started(life):
-    """The owner dies between the send and the outcome. The successor finds a
-    start without an end and has no proof that nothing ran.
+def test_a_successor_does_not_run_what_was_started(owner):
+    """The owner dies between the send and the outcome.
+
+    The successor finds a start without an outcome, which may have run.
     """
-    life.submit(ONCE)
-    life.append(Started("r", 1, [], 0.0))
-    successor = Life(life.table, "placer-b")
+    owner.submit(ONCE)
+    owner.append(Started("r", 1, [], 0.0))
+    successor = SimulatedOwner(owner.table, "placer-b")
     successor.runner.recover(successor.shard, successor.item)
     successor.shard.journal.write_segment()
     assert successor.backend.calls == []
@@ -195,44 +204,48 @@
     successor.executor.shutdown()
 
 
-def test_a_runner_that_waits_while_a_cancel_is_journaled_sends_nothing(life):
-    """A runner has taken the work when its cancel is journaled, and the member
-    hears "not run". The start that follows must not lead to a send.
+def test_a_runner_sends_nothing_after_a_journaled_cancel(owner):
+    """A cancel is journaled after a runner has dequeued the work.
+
+    The caller gets "not run", so the start that follows must not lead to a send.
     """
-    life.submit(ONCE)
-    taken = life.item
-    told = life.desk.cancel(life.shard, "r")
-    life.shard.journal.write_segment()
-    assert told.result(0).outcome == "not_run"
-    task = life.executor.submit(life.shard.journal.run)
-    assert not life.runner._journal_start(life.shard, taken, Slots().acquire(ONCE))
-    life.shard.journal.close()
+    owner.submit(ONCE)
+    taken = owner.item
+    cancelled = owner.dispatcher.cancel(owner.shard, "r")
+    owner.shard.journal.write_segment()
+    assert cancelled.result(0).outcome == "not_run"
+    task = owner.executor.submit(owner.shard.journal.run)
+    assert not owner.runner._journal_start(owner.shard, taken, Slots().acquire(ONCE))
+    owner.shard.journal.close()
     task.result()
-    assert life.journaled().get("r").ended.outcome == "not_run"
+    assert owner.journaled().get("r").ended.outcome == "not_run"
+
 
+def test_a_cancel_queued_behind_a_start_has_no_effect(owner):
+    """A cancel finds the work waiting while its start is queued in the journal.
 
-def test_a_cancel_queued_behind_a_start_is_void(life):
-    """A cancel finds the work waiting while its start is queued; both go into
-    one segment, the start first. The runner sends as soon as the start is
-    durable, and the member would hear "not run" of work that runs.
+    Both are written in one segment, the start first. The runner sends the work as soon
+    as the start is durable, so an effective cancel would answer "not run" for work
+    that runs.
     """
-    life.submit(ONCE)
-    life.shard.journal.append(Started("r", 1, [], 0.0))
-    told = life.desk.cancel(life.shard, "r")
-    life.shard.journal.write_segment()
-    assert (told.result(0).state, told.result(0).outcome) == ("running", None)
-    assert life.journaled().get("r").state == "running"
+    owner.submit(ONCE)
+    owner.shard.journal.append(Started("r", 1, [], 0.0))
+    cancelled = owner.dispatcher.cancel(owner.shard, "r")
+    owner.shard.journal.write_segment()
+    assert (cancelled.result(0).state, cancelled.result(0).outcome) == ("running", None)
+    assert owner.journaled().get("r").state == "running"
 
 
-def test_a_deadline_after_a_lost_answer_is_not_called_not_run(life):
-    """A repeatable call gets no answer and is put back; its deadline comes
-    before the second try. The first may have run: "not run" would be untrue.
+def test_a_deadline_after_a_lost_answer_does_not_report_not_run(owner):
+    """A repeatable call gets no answer, and its deadline ends before the next attempt.
+
+    The first attempt may have run, so "not run" could be false.
     """
-    life.submit(DEFERRED)
-    life.backend.is_silent = True
-    life.run(life.item)
-    assert (life.backend.calls, life.item.state) == (["r"], "running")
-    successor = Life(life.table, "placer-b")
+    owner.submit(DEFERRED)
+    owner.backend.is_silent = True
+    owner.run(owner.item)
+    assert (owner.backend.calls, owner.item.state) == (["r"], "running")
+    successor = SimulatedOwner(owner.table, "placer-b")
     successor.clock.advance(DEADLINE + 1)
     successor.run(successor.item)
     assert successor.backend.calls == []
@@ -240,36 +253,38 @@
     successor.executor.shutdown()
 
 
-def test_a_deadline_before_any_start_is_not_run(life):
-    """No start was ever journaled, so nothing can have run."""
-    life.submit(DEFERRED)
-    life.clock.advance(DEADLINE + 1)
-    life.run(life.item)
-    assert life.journaled().get("r").ended.outcome == "not_run"
+def test_a_deadline_before_any_start_is_not_run(owner):
+    """No start was journaled, so the work cannot have run."""
+    owner.submit(DEFERRED)
+    owner.clock.advance(DEADLINE + 1)
+    owner.run(owner.item)
+    assert owner.journaled().get("r").ended.outcome == "not_run"
+
 
+def test_an_outcome_is_reported_only_once_it_is_durable(owner):
+    """The owner may die before the write of the outcome takes effect.
 
-def test_an_outcome_is_told_only_once_it_is_durable(life):
-    """The outcome's write is lost and the owner dies. Had the member heard
-    "done", the successor would tell "unknown" of the same request.
+    If the caller already had "done", the successor would report "unknown" for the same
+    request.
     """
-    life.submit(ONCE)
-    life.append(Started("r", 1, [], 0.0))
-    told = life.desk.submit(
-        life.shard,
+    owner.submit(ONCE)
+    owner.append(Started("r", 1, [], 0.0))
+    answer = owner.dispatcher.submit(
+        owner.shard,
         Submit(request_id="r", payload=b"1", wait_milliseconds=1000),
         ONCE,
     )
-    life.runner.end(life.shard, life.item, "done")
-    assert not told.done()
-    life.shard.journal.write_segment()
-    assert told.result(0).outcome == "done"
-
-
-def test_an_outcome_never_changes(life):
-    """A late record of another outcome must not replace what a caller heard."""
-    life.submit(ONCE)
-    life.append(Started("r", 1, [], 0.0))
-    life.append(Ended("r", "done", 1.0))
-    life.append(Ended("r", "unknown", 2.0))
-    assert life.item.ended.outcome == "done"
-    assert life.journaled().get("r").ended.outcome == "done"
+    owner.runner.end(owner.shard, owner.item, "done")
+    assert not answer.done()
+    owner.shard.journal.write_segment()
+    assert answer.result(0).outcome == "done"
+
+
+def test_an_outcome_never_changes(owner):
+    """A later record of another outcome must not replace the reported one."""
+    owner.submit(ONCE)
+    owner.append(Started("r", 1, [], 0.0))
+    owner.append(Ended("r", "done", 1.0))
+    owner.append(Ended("r", "unknown", 2.0))
+    assert owner.item.ended.outcome == "done"
+    assert owner.journaled().get("r").ended.outcome == "done"
--- a/tests/spec/test_specifications.py
+++ b/tests/spec/test_specifications.py
@@ -7,7 +7,7 @@
 from spec.checking import Specification, examine
 
 
-def test_every_guard_is_needed_and_all_together_hold():
+def test_properties_hold_with_all_guards_and_break_without_each():
     printed = io.StringIO()
     assert main(printed) == 0, printed.getvalue()
     for specification in SPECIFICATIONS:
