--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -1,4 +1,4 @@
-"""Check every specification; exit with 1 where an outcome surprises."""
+"""Check every specification; exit with 1 if a result is not the expected one."""
 
 import sys
 
@@ -11,7 +11,7 @@
 
 
 def main(stream=sys.stdout):
-    """Print the whole table and return how many outcomes surprise."""
+    """Print all findings and return the number of unexpected results."""
     surprises = 0
     for specification in SPECIFICATIONS:
         for finding in examine(specification):
--- a/spec/bundle.py
+++ b/spec/bundle.py
@@ -1,9 +1,9 @@
-"""Specify rolling a bundle: two operators and two processes.
+"""Specify the rollout of a bundle: two operators and two processes.
 
-The operators race, and the answer of the accepting write may be lost. A process
-may be frozen, woken and restarted from nothing; it learns of a bundle from the
-table or from the other process, whose message may be old when it is read. While
-the table is down no step that needs it is taken, for as long as may be.
+The operators race, and the answer of the accepting write may be lost. A process may be
+frozen, resumed, and restarted without state. It gets a bundle from the table or from
+the other process, whose message may be outdated when it is read. An outage of the table
+is a run without the steps that need it, of any length.
 """
 
 from typing import NamedTuple
@@ -33,7 +33,7 @@
 
 
 class Operator(NamedTuple):
-    """Hold an operator's step, its bundle and the row's version it read."""
+    """State of an operator: its phase, its bundle and the version it has read."""
 
     phase: int = IDLE
     sequence: int = 0
@@ -42,7 +42,7 @@
 
 
 class Process(NamedTuple):
-    """Hold the bundle in force, the highest so far, and an unread message."""
+    """State of a process: bundle in force, highest sequence, unread message."""
 
     sequence: int = 0
     digest: str = ""
@@ -52,7 +52,11 @@
 
 
 class State(NamedTuple):
-    """Hold the head row, the operators, the processes and what went wrong."""
+    """State of the head row, the operators, the processes and the violations.
+
+    ``settled`` is set once all running processes had time to get the head; ``stale``
+    and ``twice`` record a decision by an outdated bundle and a sequence accepted twice.
+    """
 
     accepted: tuple = ()
     sequence: int = 0
@@ -72,7 +76,7 @@
 
 
 def build(guards):
-    """Return the protocol with only some guards in force."""
+    """Return the protocol with the given guards active."""
     return Protocol(
         name="bundle",
         candidate=False,
@@ -97,7 +101,7 @@
 
 
 def _loser_is_not_in_force(found):
-    # Both offer different bundles, so the digest tells whose was accepted.
+    # The operators propose different bundles, so a digest identifies its operator.
     accepted = found["accepted"]
     return all(
         found[name].phase != LOST
@@ -110,8 +114,8 @@
     for name in BUNDLES:
         yield from _operator(state, name, guards)
     for name in OTHER:
-        yield from _live(state, name, guards)
-        yield from _learn(state, name, guards)
+        yield from _freeze_or_restart(state, name, guards)
+        yield from _receive_bundle(state, name, guards)
     if state.sequence and _is_everywhere(state):
         yield "seconds pass", state._replace(settled=True)
 
@@ -169,7 +173,7 @@
     )
 
 
-def _live(state, name, guards):
+def _freeze_or_restart(state, name, guards):
     me = getattr(state, name)
     if me.life == RUNNING:
         yield f"{name} is frozen", _change(state, name, life=FROZEN)
@@ -179,37 +183,37 @@
         life = WOKEN if "confirm_after_pause" in guards else RUNNING
         yield f"{name} wakes", _change(state, name, life=life)
     restarted = Process(life=WOKEN)
-    yield f"{name} starts from nothing", state._replace(**{name: restarted})
+    yield f"{name} restarts without state", state._replace(**{name: restarted})
 
 
-def _learn(state, name, guards):
+def _receive_bundle(state, name, guards):
     me, peer = getattr(state, name), getattr(state, OTHER[name])
     if peer.sequence and peer.life != FROZEN and not me.mail:
-        # A frozen process reads the message once it wakes.
+        # A frozen process reads the message once it resumes.
         mail = (peer.sequence, peer.digest)
         yield f"{OTHER[name]} sends its head to {name}", _change(state, name, mail=mail)
     if me.life == FROZEN:
         return
     if state.sequence:
         found = (state.sequence, state.accepted[state.sequence - 1])
-        yield f"{name} looks at the table", _take(state, name, found, True, guards)
+        yield f"{name} reads the table", _adopt_bundle(state, name, found, True, guards)
     if me.mail:
-        heard = _change(state, name, mail=())
+        received = _change(state, name, mail=())
         confirms = "ask_after_waking" not in guards
         yield (
             f"{name} reads an old message",
-            _take(heard, name, me.mail, confirms, guards),
+            _adopt_bundle(received, name, me.mail, confirms, guards),
         )
     if peer.sequence and peer.life != FROZEN:
         confirms = peer.life == RUNNING or "ask_confirmed_peer" not in guards
         found = (peer.sequence, peer.digest)
         yield (
             f"{name} asks {OTHER[name]}",
-            _take(state, name, found, confirms, guards),
+            _adopt_bundle(state, name, found, confirms, guards),
         )
 
 
-def _take(state, name, found, confirms, guards):
+def _adopt_bundle(state, name, found, confirms, guards):
     me = getattr(state, name)
     sequence, digest = found
     if digest == UNSIGNED and "verify_signatures" in guards:
--- a/spec/checking.py
+++ b/spec/checking.py
@@ -1,22 +1,22 @@
-"""Check a specification with all its guards, and with each guard taken out."""
+"""Check a specification with all its guards, and without each one of them."""
 
 from minicheck import check_safety
 
 __all__ = ["Finding", "Specification", "examine"]
 
-_MOST_STATES = 400_000
+_MAX_STATES = 400_000
 
 
 class Specification:
-    """Name a protocol, its guards and what each of them keeps.
+    """Describe a protocol, its guards and the property that each guard ensures.
 
     Parameters
     ----------
     name : str
     guards : dict of str to str
-        For each guard the property that must break without it.
+        Maps each guard to the property that must fail without it.
     build : callable
-        Returns the minicheck Protocol for a set of guards in force.
+        Returns the minicheck Protocol for a set of active guards.
     """
 
     __slots__ = ("build", "guards", "name")
@@ -28,20 +28,21 @@
 
 
 class Finding:
-    """Hold the outcome of one search.
+    """Result of one search through the states of a protocol.
 
     Parameters
     ----------
     specification : str
     without : str
-        The guard taken out, or empty.
+        The removed guard, or empty.
     states : int
+        Number of reachable states.
     broken : str
         The property that fails, or empty.
     steps : list of str
-        The shortest run that breaks it.
+        Labels of the shortest run that violates the property.
     surprise : str
-        Why the outcome is not the expected one, or empty.
+        How the result differs from the expected one, or empty.
     """
 
     __slots__ = ("broken", "specification", "states", "steps", "surprise", "without")
@@ -56,7 +57,7 @@
 
 
 def examine(specification):
-    """Yield the finding with all guards, then one for each guard taken out."""
+    """Yield the finding with all guards, then one for each removed guard."""
     guards = frozenset(specification.guards)
     yield _search(specification, guards, "", "")
     for guard, kept in specification.guards.items():
@@ -64,7 +65,7 @@
 
 
 def _search(specification, guards, without, expected):
-    result = check_safety(specification.build(guards), _MOST_STATES)
+    result = check_safety(specification.build(guards), _MAX_STATES)
     verdicts = result["properties"]
     broken = {name: found for name, found in verdicts.items() if not found["holds"]}
     shown = expected if expected in broken else next(iter(broken), "")
--- a/spec/grants.py
+++ b/spec/grants.py
@@ -1,8 +1,9 @@
 """Specify slots granted to gateways: one instance with one slot, two gateways.
 
-A gateway may be frozen between the grant and the send. The placer counts the
-slot as taken until proof of its end; past the upper bound of a run it asks the
-backend server. A new owner of the shard fences the instance and asks as well.
+A gateway may be frozen between the grant and the send. The placer counts the slot as
+taken until there is proof that the call has ended; after the upper bound of a run, it
+queries the backend server. A new owner of the shard fences the instance and queries it
+as well.
 """
 
 from typing import NamedTuple
@@ -29,11 +30,12 @@
 
 
 class Grant(NamedTuple):
-    """Hold a gateway's grant; an epoch of 0 means that it has none.
+    """State of a gateway's grant; epoch 0 means that the gateway has none.
 
-    ``age`` is the gateway's count of its age, ``late`` the placer's; ``held``
-    tells whether the placer counts the slot as taken, ``got`` whether the grant
-    has reached the gateway, ``runs`` whether the call runs.
+    ``asked`` tells whether the gateway has requested a slot, ``got`` whether it has
+    read the grant, ``held`` whether the placer counts the slot as taken, and ``runs``
+    whether the call runs. ``age`` is the age of the grant by the gateway's clock,
+    ``late`` by the placer's.
     """
 
     epoch: int = 0
@@ -46,7 +48,7 @@
 
 
 class State(NamedTuple):
-    """Hold the shard's epoch, the instance's fence and the grants."""
+    """State of the shard's epoch, the instance's fence and the grants."""
 
     epoch: int = 1
     fence: int = 1
@@ -55,7 +57,7 @@
 
 
 def build(guards):
-    """Return the protocol with only some guards in force."""
+    """Return the protocol with the given guards active."""
     return Protocol(
         name="grants",
         candidate=False,
@@ -93,7 +95,7 @@
 
 
 def _take_over(state):
-    # The inventory finds what runs and nothing else.
+    # The inventory of the instance contains exactly the running calls.
     counted = {
         name: getattr(state, name)._replace(held=getattr(state, name).runs)
         for name in GATEWAYS
@@ -109,7 +111,7 @@
         granted = Grant(epoch=state.epoch, age=grant.age, held=True)
         yield "is granted the slot", granted
     if grant.epoch and not grant.got:
-        # It may lie unread for long before the gateway runs again.
+        # A frozen gateway may read the grant long after it was sent.
         age = grant.age if "window_from_asking" in guards else 0
         yield "reads the grant", grant._replace(got=True, age=age)
     if grant.got and grant.epoch:
--- a/spec/journal.py
+++ b/spec/journal.py
@@ -1,8 +1,8 @@
 """Specify the journal: one request, its owner, a successor, a cancelling caller.
 
-Every write of the table may be answered, lose its answer with the effect done,
-or take effect later. The work may be repeatable or not. Either owner may be
-frozen between any two steps; the first one lives on after the takeover.
+Every write to the table may be answered, may take effect without an answer, or may take
+effect later. The work may be repeatable or not. Either owner may be frozen between any
+two steps, and the first one continues after the takeover.
 """
 
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 __all__ = ["SPECIFICATION"]
 
-MOST_RUNS = 2
+MAX_RUNS = 2
 NEW, OPEN_ACCEPT, WAIT, TAKEN, OPEN_START, READY, SENT, OVER = range(8)
 ACCEPT, START, CANCEL, DONE, UNKNOWN, NOT_RUN = (
     "accepted",
@@ -40,9 +40,10 @@
 
 
 class State(NamedTuple):
-    """Hold the journal, both owners' steps, the runs and what callers heard.
+    """State of the journal, both owners, the runs and the reported outcomes.
 
-    ``late`` is a write without an answer that may still take effect.
+    ``late`` is an unanswered write that may still take effect; ``told`` is the set of
+    outcomes that callers have received, sorted.
     """
 
     repeatable: bool = False
@@ -58,7 +59,7 @@
 
 
 def build(guards):
-    """Return the protocol with only some guards in force."""
+    """Return the protocol with the given guards active."""
     return Protocol(
         name="journal",
         candidate=False,
@@ -85,8 +86,8 @@
     yield from _owner(state, "first", 1, guards)
     yield from _owner(state, "second", 2, guards)
     if state.epoch == 1 and state.first != NEW:
-        # The successor's claim changes the shard's row: what the first owner
-        # still has under way fails on it.
+        # The successor's claim changes the shard's row, so writes of the first owner
+        # that are still in flight fail on their epoch condition.
         late = "" if "epoch_condition" in guards else state.late
         taken = state._replace(epoch=2, late=late)
         yield from _successor(taken, guards)
@@ -96,9 +97,9 @@
     if not state.accepted or state.ended:
         yield "a successor finds nothing to do", state._replace(second=OVER)
     elif not state.started or state.repeatable:
-        yield "a successor takes the work on", state._replace(second=WAIT)
+        yield "a successor resumes the work", state._replace(second=WAIT)
     elif "successor_says_unknown" in guards:
-        ended = _tell(state._replace(second=OVER, ended=UNKNOWN), UNKNOWN)
+        ended = _report_outcome(state._replace(second=OVER, ended=UNKNOWN), UNKNOWN)
         yield "a successor finds it started and says unknown", ended
     else:
         yield "a successor finds it started and runs it", state._replace(second=WAIT)
@@ -116,12 +117,12 @@
     return state._replace(ended=NOT_RUN if kind == CANCEL else kind)
 
 
-def _tell(state, outcome):
+def _report_outcome(state, outcome):
     return state._replace(told=tuple(sorted({*state.told, outcome})))
 
 
 def _write(state, epoch, kind, guards):
-    """Yield what the writer saw, and the state after it."""
+    """Yield each result that the writer can observe, with the state after it."""
     if epoch < state.epoch and "epoch_condition" in guards:
         yield "refused", state
         return
@@ -132,10 +133,10 @@
 
 
 def _settle(state, kind, guards):
-    """Return whether the write was there, and the state after settling."""
+    """Return whether the write had taken effect, and the state after settling."""
     found = state.accepted if kind == ACCEPT else state.started
     if "settle_under_same_key" in guards and state.late == kind:
-        # The empty segment stands under the key: the late write fails on it.
+        # Settling writes an empty segment under the same key, so the late write fails.
         state = state._replace(late="")
     return found, state
 
@@ -150,11 +151,11 @@
         for seen, after in _write(state, epoch, ACCEPT, guards):
             after = to(after, WAIT if seen == "written" else OPEN_ACCEPT)
             if seen == "lost" and "unsettled_is_unknown" not in guards:
-                after = _tell(after, NOT_RUN)
+                after = _report_outcome(after, NOT_RUN)
             yield f"accept {seen}", after
     if phase == OPEN_ACCEPT:
         found, after = _settle(state, ACCEPT, guards)
-        after = to(after, WAIT) if found else to(_tell(after, NOT_RUN), OVER)
+        after = to(after, WAIT) if found else to(_report_outcome(after, NOT_RUN), OVER)
         yield "the accept is settled", after
     if phase == WAIT and not state.ended:
         yield f"{name} owner takes the work", to(state, TAKEN)
@@ -166,7 +167,7 @@
     if phase == OPEN_START:
         _, after = _settle(state, START, guards)
         yield f"{name} owner settles its start", to(after, WAIT)
-    if phase == READY and state.runs < MOST_RUNS:
+    if phase == READY and state.runs < MAX_RUNS:
         sent = to(state._replace(runs=state.runs + 1), SENT)
         yield f"{name} owner's call runs", sent
     if phase == SENT:
@@ -190,7 +191,7 @@
 def _cancel(state, name, epoch, guards):
     for seen, after in _write(state, epoch, CANCEL, guards):
         if seen == "written" and after.ended == NOT_RUN:
-            after = _tell(after, NOT_RUN)
+            after = _report_outcome(after, NOT_RUN)
         yield f"cancel through {name} owner {seen}", after
 
 
@@ -199,7 +200,10 @@
     outcome = NOT_RUN if is_refusal else UNKNOWN
     for seen, after in _write(state, epoch, outcome, guards):
         if seen == "written":
-            yield f"the deadline ends: {outcome}", to(_tell(after, after.ended), OVER)
+            yield (
+                f"the deadline ends: {outcome}",
+                to(_report_outcome(after, after.ended), OVER),
+            )
 
 
 def _end(state, name, epoch, guards, to):
@@ -207,10 +211,10 @@
         yield f"{name} owner has no answer and waits", to(state, WAIT)
     for outcome in (DONE, UNKNOWN):
         for seen, after in _write(state, epoch, outcome, guards):
-            is_told = seen == "written" or "tell_after_durable" not in guards
-            heard = after.ended if seen == "written" else outcome
-            if is_told:
-                after = _tell(after, heard)
+            is_reported = seen == "written" or "tell_after_durable" not in guards
+            reported = after.ended if seen == "written" else outcome
+            if is_reported:
+                after = _report_outcome(after, reported)
             yield f"{name} owner ends it as {outcome}, {seen}", to(after, OVER)
 
 
--- a/spec/leases.py
+++ b/spec/leases.py
@@ -1,8 +1,8 @@
 """Specify task leases: one task, its owner, a successor and two workers.
 
-The first worker may be cut off from its owner. Its clock may run slow by the
-drift. The work is started on the second worker once the first can't run it.
-The first owner may live on, cut from the table, and go on renewing.
+The first worker may be disconnected from its owner, and its clock may be slow by the
+drift. The task is started on the second worker once the first cannot run it any more.
+The first owner may continue to renew the lease, disconnected from the table.
 """
 
 from typing import NamedTuple
@@ -28,10 +28,11 @@
 
 
 class State(NamedTuple):
-    """Hold the first worker's lease, the owner's count, and who runs the task.
+    """State of the first worker's lease, the owner's countdown and the task.
 
-    ``slow`` is how many ticks the worker's clock may still miss; ``reachable``
-    whether the present owner reaches the worker.
+    ``first`` and ``second`` tell which workers run the task; ``slow`` is the number of
+    ticks that the worker's clock may still miss; ``reachable`` tells whether the
+    current owner reaches the worker.
     """
 
     first: bool = True
@@ -46,7 +47,7 @@
 
 
 def build(guards):
-    """Return the protocol with only some guards in force."""
+    """Return the protocol with the given guards active."""
     drift = DRIFT if "add_clock_drift" in guards else 0
     return Protocol(
         name="leases",
@@ -70,7 +71,7 @@
     if state.reachable:
         yield "the owner is cut from the worker", state._replace(reachable=False)
     if not state.moved:
-        # The successor counts from its own takeover.
+        # The successor's countdown starts at its takeover.
         yield (
             "a successor takes over and can't reach the worker",
             state._replace(moved=True, reachable=False, count=whole),
@@ -89,7 +90,7 @@
 
 
 def _renew(state, guards, whole):
-    """Renew by the owner, or by the earlier owner that lives on."""
+    """Yield the renewals by the owner, or by the earlier owner after a takeover."""
     if state.fenced or state.second and not state.moved:
         return
     if not state.first and "no_renewal_after_lapse" in guards:
--- a/spec/ownership.py
+++ b/spec/ownership.py
@@ -1,9 +1,9 @@
-"""Specify shard ownership: two placers, one worker that holds one task.
+"""Specify shard ownership: two placers and one worker with room for one task.
 
-A placer reads the shard's row, claims it at the next epoch, fences the worker
-and takes its inventory, and only then decides. It may be frozen between any
-two steps, a message may wait for ever, and an answer of the table may be lost
-with the write done or not done.
+A placer reads the shard's row, claims it at the next epoch, fences the worker, reads
+its inventory, and only then makes decisions. It may be frozen between any two steps, a
+message may be delayed without limit, and an answer of the table may be lost whether or
+not the write took effect.
 """
 
 from typing import NamedTuple
@@ -29,7 +29,7 @@
 
 
 class Placer(NamedTuple):
-    """Hold what a placer believes; ``sending`` is the epoch of a sent start."""
+    """State known to a placer; ``sending`` is the epoch of a start in flight."""
 
     phase: int = IDLE
     epoch: int = 0
@@ -38,7 +38,7 @@
 
 
 class State(NamedTuple):
-    """Hold the row, the placers and the worker."""
+    """State of the shard's row, the placers and the worker."""
 
     owner: str = ""
     epoch: int = 0
@@ -49,7 +49,7 @@
 
 
 def build(guards):
-    """Return the protocol with only some guards in force."""
+    """Return the protocol with the given guards active."""
     return Protocol(
         name="ownership",
         candidate=False,
@@ -101,10 +101,10 @@
         epoch = me.epoch + 1
         is_mine = (state.owner, state.epoch) == (name, epoch)
         if is_mine or "read_back_lost_answer" not in guards:
-            label = f"{name} takes itself for the owner of epoch {epoch}"
+            label = f"{name} concludes that it owns epoch {epoch}"
             yield label, _with(state, name, phase=CLAIMED, epoch=epoch)
         else:
-            yield f"{name} sees its claim lost", _with(state, name, phase=IDLE)
+            yield f"{name} reads that its claim failed", _with(state, name, phase=IDLE)
 
 
 def _open(state, name, guards):
