--- a/tests/failures/loads.py
+++ b/tests/failures/loads.py
@@ -1,4 +1,4 @@
-"""Callers that keep sending until they are told to stop."""
+"""Load generator that sends requests until its context ends."""
 
 import json
 import threading
@@ -10,7 +10,11 @@
 
 
 class Load:
-    """Callers in threads, each with one request at a time."""
+    """Send requests from several threads, each with one request at a time.
+
+    ``answers`` lists (status, error type, outcome, seconds) of each request; the
+    status is 0 where the connection failed.
+    """
 
     def __init__(self, addresses, threads=6, body=None, timeout="2.6"):
         self._addresses = addresses
@@ -36,11 +40,11 @@
 
     @property
     def problems(self):
-        """Return what did not get its whole answer."""
+        """Return the answers with a status other than 200."""
         return [found for found in self.answers if found[0] != 200]
 
     def wait_for_more(self, count):
-        """Wait until so many more answers came."""
+        """Wait until this number of further answers has arrived."""
         goal = len(self.answers) + count
         while len(self.answers) < goal:
             self._stop.wait(0.01)
--- a/tests/failures/simulation.py
+++ b/tests/failures/simulation.py
@@ -1,4 +1,4 @@
-"""Lives of a placer: its real parts in one process, over in-process stand-ins."""
+"""A cell of placers in one process: real components on the platform's stand-ins."""
 
 import contextlib
 import json
@@ -39,19 +39,19 @@
 KILLED_BEFORE, KILLED_AFTER = "killed before", "killed after"
 DOWN, LOST, LATE = "down", "answer lost", "effect comes late"
 FAULTS = (KILLED_BEFORE, KILLED_AFTER, DOWN, LOST, LATE)
-WATCHED = ("/table/transactions", "/objects/", "/instances/")
+COUNTED_PATHS = ("/table/transactions", "/objects/", "/instances/")
 SECONDS = 20
 
 
 class Killed(BaseException):
-    """End a thread of a process that is dead."""
+    """End a thread of a simulated process that was killed."""
 
 
 class FaultyPool(InProcessPool):
-    """Carry requests to the stand-ins and do what the faults say.
+    """Forward requests to the stand-ins and inject faults.
 
-    Operations on the way of durable work are numbered from 1 once ``arm`` was
-    called; ``faults`` gives the fault of a number.
+    After ``arm``, the platform operations of durable work are numbered from 1.
+    ``faults`` maps the number of an operation to its fault.
     """
 
     def __init__(self, platform):
@@ -62,9 +62,9 @@
         self.failing_object_read = 0
         self.object_reads = 0
         self.dead = threading.Event()
-        self._held = 0
-        self._go = threading.Event()
-        self._late = []
+        self._blocked_number = 0
+        self._unblocked = threading.Event()
+        self._delayed = []
         self._lock = threading.Lock()
 
     def arm(self, faults):
@@ -88,38 +88,38 @@
         if fault == DOWN:
             raise NotSent(url=url)
         if fault == LATE:
-            self._late.append((method, url, body, headers))
+            self._delayed.append((method, url, body, headers))
             raise AnswerMissing(url=url)
         answer = super().request(method, url, body, headers)
-        while self._late:
-            super().request(*self._late.pop())
+        while self._delayed:
+            super().request(*self._delayed.pop())
         if fault == KILLED_AFTER:
             self._die()
         if fault == LOST or answer is None:
             raise AnswerMissing(url=url)
         return answer
 
-    def hold(self, number):
-        """Let an operation wait until ``let_go``."""
-        self._held = number
-        self._go.clear()
+    def block_operation(self, number):
+        """Block the operation with this number until ``unblock_operation``."""
+        self._blocked_number = number
+        self._unblocked.clear()
 
-    def let_go(self):
-        self._go.set()
+    def unblock_operation(self):
+        self._unblocked.set()
 
     def wait_for_operations(self, count):
         while len(self.operations) < count:
             self.dead.wait(0.002)
 
     def _next_fault(self, method, url):
-        is_watched = method != "GET" and any(part in url for part in WATCHED)
+        is_watched = method != "GET" and any(part in url for part in COUNTED_PATHS)
         with self._lock:
             if not self.is_armed or not is_watched or url.endswith("/fence"):
                 return None
             self.operations.append(url)
             number = len(self.operations)
-        if number == self._held:
-            self._go.wait(SECONDS)
+        if number == self._blocked_number:
+            self._unblocked.wait(SECONDS)
         return self.faults.get(number)
 
     def _die(self):
@@ -127,8 +127,8 @@
         raise Killed
 
 
-class DeskSlots:
-    """Give slots straight from the shard's own desk."""
+class ShardSlots:
+    """Grant slots from the shard's slot allocator, without the network."""
 
     def __init__(self, placer):
         self._life = placer
@@ -148,7 +148,7 @@
 
 
 class Cell:
-    """A platform, and the placers that follow one another on it."""
+    """A platform and the simulated placers that run on it, one after another."""
 
     def __init__(self):
         document = json.loads((ROOT / "deploy/footfall/bundle.json").read_text())
@@ -156,20 +156,20 @@
         self.clock = ManualClock(1e6)
         self.platform = Platform(self.clock, service_seconds=0)
         self.platform.fill(self.bundle, URL)
-        self.placers = []
+        self.lives = []
 
     def __enter__(self):
         return self
 
     def __exit__(self, *ignored):
-        for placer in self.placers:
+        for placer in self.lives:
             placer.end()
 
     def start(self, name, faults=None, shard=SHARD):
-        """Start a life, let it take the shard, and arm its faults."""
+        """Start a placer that takes over the shard, with faults to be armed."""
         placer = SimulatedPlacer(self, name)
-        self.placers.append(placer)
-        placer.take(shard, faults or {})
+        self.lives.append(placer)
+        placer.take_shard(shard, faults or {})
         return placer
 
     def runs(self, request_id):
@@ -177,7 +177,10 @@
 
 
 class SimulatedPlacer:
-    """One process from its start to its death, stepped by the test."""
+    """One placer process from its start to its crash, driven by the test.
+
+    Its faults are armed when the first work is submitted or run.
+    """
 
     def __init__(self, cell, name):
         self.cell = cell
@@ -197,19 +200,21 @@
             watcher=SimpleNamespace(bundle=cell.bundle, sequence=1),
         )
         self.instances = instances = InstanceClient(self.pool)
-        self.keeper = keeper = HostReconciler(
+        self.reconciler = reconciler = HostReconciler(
             WorkerClient(self.pool), instances, process.executor
         )
-        self.desk = WorkDispatcher(process)
-        slots = DeskSlots(self)
-        self.runner = RequestRunner(process, slots, instances, self.desk)
-        self.loop = WorkLoop(process, self.desk, lambda item: self.runner)
+        self.dispatcher = WorkDispatcher(process)
+        slots = ShardSlots(self)
+        self.runner = RequestRunner(process, slots, instances, self.dispatcher)
+        self.loop = WorkLoop(process, self.dispatcher, lambda item: self.runner)
         bucket = TokenBucket(1e6, 1e6, cell.clock)
-        self.owner = ShardOwner(process, keeper, bucket, self._resume, self._left)
+        self.owner = ShardOwner(
+            process, reconciler, bucket, self._resume, self._on_shard_closed
+        )
         self.shard = None
         self._closed = []
 
-    def take(self, name, faults):
+    def take_shard(self, name, faults):
         row = read_shard(self.process.table, name)
         self.pool.arm({})
         self.pool.operations.clear()
@@ -218,11 +223,11 @@
         self.shard = self.owner.take_over(row)
 
     def refresh(self):
-        """Look at the hosts again, as the placer does at each poll."""
-        self.keeper.refresh(self.shard, self.process.peers.entries, 1)
+        """Refresh the hosts, as a placer does at each poll."""
+        self.reconciler.refresh(self.shard, self.process.peers.entries, 1)
 
     def submit(self, service=ONCE, key="k1", payload=b"1", wait=8.0):
-        """Hand work to the desk as a gateway would."""
+        """Submit work to the dispatcher, as a gateway does."""
         if not self.pool.is_armed:
             self.pool.arm(self._armed)
         wanted = Submit(
@@ -238,16 +243,16 @@
             job="",
         )
         policy = self.cell.bundle.services[service]
-        return self.desk.submit(self.shard, wanted, policy)
+        return self.dispatcher.submit(self.shard, wanted, policy)
 
     def run_all(self):
-        """Run what comes due until nothing is left or the process is dead."""
+        """Run due work until all of it has ended or the process was killed."""
         if not self.pool.is_armed:
             self.pool.arm(self._armed)
         for _ in range(60):
             if self.pool.dead.is_set():
                 return
-            found = self.desk.take(0)
+            found = self.dispatcher.take(0)
             if found is not None:
                 self._run(*found)
             elif all(item.ended for item in self.shard.work_index.items):
@@ -257,30 +262,30 @@
                 self.settle()
 
     def run_next(self):
-        """Run one item that is due."""
+        """Run the next due item."""
         if not self.pool.is_armed:
             self.pool.arm(self._armed)
-        self._run(*self.desk.take(0))
+        self._run(*self.dispatcher.take(0))
 
     def start_run(self):
-        """Start the run of an item that is due, and return its thread."""
+        """Start a thread that runs the next due item, and return the thread."""
         thread = threading.Thread(target=self.run_next, daemon=True)
         thread.start()
         return thread
 
     @contextlib.contextmanager
-    def held(self):
-        """Hold the journal's writer back, so that records gather."""
+    def paused_journal(self):
+        """Block the journal's writer, so that records are queued."""
         with self.shard.journal._write_lock:
             yield
 
     def wait_for_records(self, count):
-        """Wait until so many records gathered."""
+        """Wait until this number of records is queued in the journal."""
         while len(self.shard.journal._entries) < count:
             self.pool.dead.wait(0.002)
 
     def break_next_answer(self):
-        """Let the handling of the next answer fail unexpectedly."""
+        """Raise an unexpected error after each further call to an instance."""
         call = self.instances.call
 
         def broken(*arguments):
@@ -290,7 +295,7 @@
         self.runner._instances = SimpleNamespace(call=broken)
 
     def settle(self):
-        """Wait until the journal has written what it holds, or is dead."""
+        """Wait until the journal has written its queue, or the process was killed."""
         written = threading.Event()
         if self.shard.is_closed:
             return
@@ -302,7 +307,7 @@
                 self.pool.dead.wait(0.005)
 
     def end(self):
-        """Drop the process: none of its threads does anything any more."""
+        """Terminate the process: its threads end at their next operation."""
         self.pool.dead.set()
         self.process.stop_event.set()
         shards = {self.shard, *self.owner.shards, *self._closed} - {None}
@@ -332,10 +337,10 @@
     def _resume(self, shard):
         for item in shard.work_index.items:
             if item.state == "waiting":
-                self.desk.enqueue(shard, item)
+                self.dispatcher.enqueue(shard, item)
             elif item.state == "running":
                 self.runner.recover(shard, item)
 
-    def _left(self, shard):
+    def _on_shard_closed(self, shard):
         self._closed.append(shard)
-        self.desk.fail_shard_waiters(shard)
+        self.dispatcher.fail_shard_waiters(shard)
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Work not to be repeated runs at most once, and what its caller hears is true."""
+"""Non-repeatable work runs at most once, and its reported outcome is true."""
 
 import itertools
 
@@ -17,8 +17,8 @@
 )
 
 PAYLOADS = {"small": b'"x"', "large": b'"' + b"x" * INLINE_BYTES + b'"'}
-# Operations from admission to outcome: the payload's object, acceptance,
-# start, call, the result's object, outcome.
+# Number of platform operations from admission to outcome. Small work: accept, start,
+# call, outcome. A large payload and its result are written as objects as well.
 STEPS = {"small": 4, "large": 6}
 SINGLE = [
     (size, step, fault)
@@ -33,7 +33,7 @@
     for one, other in itertools.product(FAULTS, FAULTS)
     if one not in (KILLED_BEFORE, KILLED_AFTER)
 ]
-IN_BOTH_LIVES = [
+FAULTS_IN_BOTH_PLACERS = [
     (size, first, second, fault)
     for size, steps in STEPS.items()
     for first in range(1, steps + 1)
@@ -42,8 +42,8 @@
 ]
 
 
-def heard(answer):
-    """Return the outcome that a caller hears, or None where it hears nothing."""
+def reported_outcome(answer):
+    """Return the outcome that the caller receives, or None without an answer."""
     if not answer.done():
         return None
     error = answer.exception()
@@ -52,7 +52,7 @@
     return answer.result().outcome or answer.result().state
 
 
-def check_truth(cell, request_id, outcome, work_index):
+def check_outcome(cell, request_id, outcome, work_index):
     runs = cell.runs(request_id)
     assert runs <= 1
     if outcome == "not_run":
@@ -72,14 +72,14 @@
         assert outcome in (None, "unknown", "not_run")
 
 
-def live_through(faults, size, second_faults=None):
+def run_with_faults(faults, size, second_faults=None):
     with Cell() as cell:
         placer = cell.start("placer-1", faults)
         try:
             answer = placer.submit(ONCE, payload=PAYLOADS[size])
             placer.settle()
             placer.run_all()
-            outcome = heard(answer)
+            outcome = reported_outcome(answer)
         except Killed:
             outcome = None
         except PapayapickError as error:
@@ -93,34 +93,34 @@
             placer = cell.start("placer-3")
             placer.run_all()
         placer.settle()
-        check_truth(cell, f"{SHARD}.k1", outcome, placer.shard.work_index)
+        check_outcome(cell, f"{SHARD}.k1", outcome, placer.shard.work_index)
         return placer
 
 
 @pytest.mark.parametrize(("size", "steps"), STEPS.items())
-def test_the_way_has_the_steps_that_the_tables_name(size, steps):
-    """Without a fault the work runs once; the tables below cover every step."""
-    assert len(live_through({}, size).pool.operations) == steps
+def test_run_without_faults_has_the_expected_number_of_steps(size, steps):
+    """Guard against steps that the parameters of the tests below do not cover."""
+    assert len(run_with_faults({}, size).pool.operations) == steps
 
 
 @pytest.mark.parametrize(("size", "step", "fault"), SINGLE)
 def test_one_fault_at_each_step(size, step, fault):
-    """A heatmap refresh is sent in, and one thing goes wrong on its way.
+    """One fault occurs while a heatmap refresh is processed.
 
-    The process dies before or after a step, or a service of the platform gives
-    no answer, without or with effect. Whatever the step, the refresh ran at
-    most once and no caller heard of it what is not true.
+    The process is killed before or after a step, or a platform service does not
+    answer, with or without having applied the operation. In each case the refresh
+    must run at most once, and its caller must not receive a false outcome.
     """
-    live_through({step: fault}, size)
+    run_with_faults({step: fault}, size)
 
 
 @pytest.mark.parametrize(("size", "faults"), PAIRS)
-def test_two_faults_in_one_life(size, faults):
-    """Two things go wrong on the way of one refresh, in the same process."""
-    live_through(faults, size)
+def test_two_faults_in_one_process(size, faults):
+    """Two faults occur in the same process while one refresh is processed."""
+    run_with_faults(faults, size)
 
 
-@pytest.mark.parametrize(("size", "first", "second", "fault"), IN_BOTH_LIVES)
+@pytest.mark.parametrize(("size", "first", "second", "fault"), FAULTS_IN_BOTH_PLACERS)
 def test_a_kill_and_a_fault_of_the_successor(size, first, second, fault):
-    """The process dies on the way, and its successor meets a fault as well."""
-    live_through({first: KILLED_AFTER}, size, {second: fault})
+    """The process is killed after a step, and its successor meets a fault."""
+    run_with_faults({first: KILLED_AFTER}, size, {second: fault})
--- a/tests/failures/test_processes.py
+++ b/tests/failures/test_processes.py
@@ -1,4 +1,7 @@
-"""Kills, freezes and shutdowns of real processes; the stand-ins judge."""
+"""Kills, freezes and shutdowns of real processes.
+
+The stand-ins count the runs of each request and overfilled hosts.
+"""
 
 import json
 import signal
@@ -48,13 +51,14 @@
 def owner_of_run(cell):
     runs = cell.control("counts")["runs"]
     request_id = next(found for found in runs if ".0." in found)
-    # Not by the zone: at the start a placer of another one may have the shard.
+    # Right after the start, a placer of another zone may own the shard, so the owner
+    # is read from the table.
     shard = request_id.rpartition(".")[0]
     return cell.daemons[cell.owner_of(shard)], request_id
 
 
 def shard_lines(cell):
-    """Return what the placers wrote of their shards, to explain a failure."""
+    """Return the log lines of the placers about shards, to explain a failure."""
     found = [
         (line["time"], daemon.name, line["message"], line.get("shard", ""))
         for daemon in cell.placers
@@ -65,12 +69,12 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
-def test_placer_that_dies_or_freezes_in_mid_run(cell, number):
-    """A heatmap refresh runs when the placer that journaled it is gone.
+def test_placer_killed_or_frozen_during_a_run(cell, number):
+    """The placer that journaled a heatmap refresh fails while the refresh runs.
 
-    Its caller waits on the gateway, which asks the successor; that finds a
-    start without an outcome and says "unknown", also to whoever asks again
-    under the key. A frozen placer that wakes changes nothing of it.
+    The gateway queries the successor, which finds a start without an outcome and
+    answers "unknown", also to a retry under the same key. The frozen placer must not
+    change this outcome once it resumes.
     """
     gateway = cell.gateways[0].addresses["http"]
     with ThreadPoolExecutor(1) as executor:
@@ -87,11 +91,11 @@
     assert cell.control("counts")["runs"][request_id] == 1
 
 
-def test_frozen_placer_that_wakes_under_load_overfills_nothing(cell):
-    """A placer is frozen until another has its shards, then wakes under load.
+def test_frozen_placer_that_resumes_under_load_overfills_nothing(cell):
+    """A placer is frozen until others own its shards, then resumes under load.
 
-    It still believes in its shards and would give out slots that its successor
-    gives out too; the pause makes it ask the table first, and the backend
+    It still assumes that it owns its shards and would grant slots that its successor
+    grants too. The detected pause makes it read the table first, and the backend
     servers refuse its epoch.
     """
     placer = cell.placers[0]
@@ -105,14 +109,14 @@
     with Load(addresses, threads=24) as load:
         load.wait_for_more(50)
         placer.signal(signal.SIGSTOP)
-        cell.wait_until(taken_over, "nobody took the shards")
+        cell.wait_until(taken_over, "no placer took over the shards")
         placer.signal(signal.SIGCONT)
         load.wait_for_more(200)
     assert all(found[2] in ("", "not_run") for found in load.answers)
 
 
-def test_gateway_told_to_stop_finishes_what_is_in_flight(cell):
-    """SIGTERM comes while slow answers are on their way: each arrives whole."""
+def test_gateway_finishes_requests_in_flight_on_sigterm(cell):
+    """A gateway gets SIGTERM while slow requests run; each gets its full answer."""
     gateway = cell.gateways[0]
     address = gateway.addresses["http"]
     body = {"service": "quick-counts", "payload": {"seconds": 1.0}}
@@ -133,12 +137,12 @@
     assert gateway.process.returncode == 0
 
 
-def test_placer_told_to_stop_hands_over_and_cuts_nothing_off(cell):
-    """SIGTERM comes to a placer under load, with slow work in its hands.
+def test_placer_hands_over_without_failed_requests_on_sigterm(cell):
+    """A placer under load gets SIGTERM while it runs slow work.
 
-    Every urgent request gets its answer through the handover, the slow refresh
-    ends under the placer that journaled it, and one sent during the drain is
-    run by whoever has the shard then.
+    Every urgent request is answered during the handover. The slow refresh ends on the
+    placer that journaled it, and a refresh sent during the drain is run by the owner
+    of the shard at that time.
     """
     addresses = [found.addresses["http"] for found in cell.gateways]
     with Load(addresses) as load, ThreadPoolExecutor(2) as executor:
@@ -160,10 +164,10 @@
     assert placer.process.returncode == 0
 
 
-def test_second_signal_ends_a_placer_that_waits(cell):
-    """An operator insists: the second SIGTERM does not wait for the drain.
+def test_second_signal_ends_a_draining_placer(cell):
+    """A second SIGTERM ends a placer at once, without the rest of the drain.
 
-    The caller then hears the truth from the successor, which is "unknown".
+    The successor cannot tell whether the work ran, and answers "unknown".
     """
     address = cell.gateways[0].addresses["http"]
     with ThreadPoolExecutor(1) as executor:
@@ -180,10 +184,10 @@
 
 
 def test_restart_of_every_entry_host_in_turn(cell):
-    """Hosts are replaced one after the other while jobs and requests go on.
+    """Entry hosts are replaced one after the other while jobs and requests run.
 
-    No request is refused or cut off, no worker is overfilled, no work not to
-    be repeated runs twice, and each placer gets the shard of its zone back.
+    No request is refused or interrupted, no worker is overfilled, no non-repeatable
+    work runs twice, and each placer becomes the owner of its zone's shard again.
     """
     job = {
         "job": "season-model",
@@ -210,7 +214,7 @@
             cell.announce(started)
             cell.wait_until(
                 lambda found=started: cell.metric(found, "papayapick_owned_shards"),
-                "the shard of the zone does not come back",
+                "the placer does not own the shard of its zone again",
             )
     assert load.problems == []
     ended = threading.Event()
--- a/tests/failures/test_store_outage.py
+++ b/tests/failures/test_store_outage.py
@@ -1,4 +1,4 @@
-"""The store goes away and comes back: what goes on, what is refused, what is kept."""
+"""Outages of the store: urgent work, refused work and accepted work."""
 
 import json
 
@@ -7,7 +7,7 @@
 from demo.cells import Cell, http_call
 from papayapick.journal import JournalUnavailable, JournalUnsettled
 from tests.failures.simulation import DOWN, SHARD
-from tests.failures.simulation import Cell as PartsCell
+from tests.failures.simulation import Cell as SimulatedCell
 
 REQUESTS = "/v1/requests"
 URGENT = {"service": "quick-counts", "payload": {"n": 1}}
@@ -32,11 +32,12 @@
 
 
 def test_urgent_work_goes_on_and_durable_work_is_refused_and_kept():
-    """The platform's table is down for long, then comes back.
+    """The platform's table is down for a long time, then recovers.
 
-    Door counts go on. Refreshes and comparisons are refused at once with "not
-    run" and when to come back; the first that meet the outage hear "unknown".
-    What was accepted before arrives, and nothing that was refused has run.
+    Door counts are still served. Refreshes and comparisons are refused at once with
+    "not run" and a time to retry; the first request that meets the outage in each
+    journal gets "unknown". Work accepted before the outage is completed afterwards,
+    and no refused work has run.
     """
     with Cell("footfall", QUICK) as cell:
         address = cell.gateways[0].addresses["http"]
@@ -51,12 +52,13 @@
                 assert status == 503
                 assert int(headers["Retry-After"]) >= 1
                 outcomes.append(found["outcome"])
-        # One for each journal that met the outage; no write of it is in force.
+        # One "unknown" for each journal that met the outage; none of these writes
+        # took effect.
         assert outcomes.count("unknown") <= 2
         assert set(outcomes) <= {"unknown", "not_run"}
         cell.control("clear", target="table")
         cell.wait_until(
-            lambda: post(address, ONCE, "afterwards")[0] == 200, "does not come back"
+            lambda: post(address, ONCE, "afterwards")[0] == 200, "does not recover"
         )
         for _, headers, _ in accepted:
             cell.wait_until(
@@ -74,11 +76,11 @@
 
 @pytest.mark.parametrize("tries", [1, 5, 60])
 def test_outcome_that_meets_an_outage_is_written_on_return(tries):
-    """A refresh has run when the table goes down, for one try or for many.
+    """The table goes down after a refresh has run, for one or several attempts.
 
-    Its outcome is kept, written once the table is back, and told then.
+    The outcome is retained, written once the table has recovered, and then reported.
     """
-    with PartsCell() as cell:
+    with SimulatedCell() as cell:
         placer = cell.start("placer-1", dict.fromkeys(range(4, 4 + tries), DOWN))
         answer = placer.submit()
         placer.settle()
@@ -92,12 +94,12 @@
 
 
 def test_outcome_known_in_the_middle_of_an_outage_is_kept():
-    """A run ends while the journal is busy with another record's fate.
+    """A run ends while the journal settles an unanswered write of another record.
 
-    New work is refused meanwhile; the outcome is taken all the same, and is
-    in the journal once the table is back.
+    New work is refused meanwhile, but the outcome is accepted, and is in the journal
+    once the table has recovered.
     """
-    with PartsCell() as cell:
+    with SimulatedCell() as cell:
         placer = cell.start("placer-1", dict.fromkeys(range(2, 12), DOWN))
         answer = placer.submit()
         placer.settle()
@@ -111,15 +113,18 @@
 
 
 def test_hundreds_of_tries_share_segments_on_return():
-    """The table comes back with 2,000 outcomes waiting: eight writes, no rush."""
-    with PartsCell() as cell:
+    """The table recovers with 2,000 outcomes queued: they are written in 8 segments.
+
+    One write for each outcome would overload the table at its recovery.
+    """
+    with SimulatedCell() as cell:
         placer = cell.start("placer-1")
         for number in range(2000):
             placer.submit(key=f"k{number}", wait=0)
         placer.settle()
         writes = cell.platform.table.writes
         items = placer.shard.work_index.items
-        with placer.held():
+        with placer.paused_journal():
             for item in items:
                 placer.runner.end(placer.shard, item, "unknown")
         placer.settle()
@@ -128,17 +133,17 @@
 
 
 def test_record_queued_behind_a_lost_answer_is_refused_at_once():
-    """A second refresh is queued at the moment the table goes down.
+    """A second refresh is queued when the table goes down.
 
-    It stood behind the first, whose fate takes as long as the outage, and its
-    caller was left to a timeout ("unknown") though nothing had been written.
+    It waited behind the first, which cannot be settled before the end of the outage,
+    and its caller got a timeout ("unknown") although nothing had been written.
     """
-    with PartsCell() as cell:
+    with SimulatedCell() as cell:
         placer = cell.start("placer-1", dict.fromkeys(range(1, 12), DOWN))
-        placer.pool.hold(1)
+        placer.pool.block_operation(1)
         first = placer.submit(key="k1")
         placer.pool.wait_for_operations(1)
         second = placer.submit(key="k2")
-        placer.pool.let_go()
+        placer.pool.unblock_operation()
         assert isinstance(first.exception(5), JournalUnsettled)
         assert isinstance(second.exception(5), JournalUnavailable)
--- a/tests/failures/test_takeover.py
+++ b/tests/failures/test_takeover.py
@@ -1,4 +1,4 @@
-"""Shards change hands: one owner at an epoch, and no host over what it holds."""
+"""Takeovers of shards: one owner per epoch, and no host above its capacity."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -29,7 +29,7 @@
 
 def add_placer(cell, name):
     placer = SimulatedPlacer(cell, name)
-    cell.placers.append(placer)
+    cell.lives.append(placer)
     return placer
 
 
@@ -42,25 +42,25 @@
 
 
 def test_one_of_many_takeovers_wins(cell):
-    """Six placers see a dead owner at the same moment and all claim its shard."""
-    placers = [add_placer(cell, f"placer-{number}") for number in range(6)]
-    row = read_shard(placers[0].process.table, SHARD)
-    together = threading.Barrier(len(placers))
+    """Six placers detect a dead owner at the same time and all claim its shard."""
+    lives = [add_placer(cell, f"placer-{number}") for number in range(6)]
+    row = read_shard(lives[0].process.table, SHARD)
+    together = threading.Barrier(len(lives))
 
     def take(placer):
         together.wait()
         return placer.owner.take_over(row)
 
-    with ThreadPoolExecutor(len(placers)) as executor:
-        taken = [shard for shard in executor.map(take, placers) if shard is not None]
+    with ThreadPoolExecutor(len(lives)) as executor:
+        taken = [shard for shard in executor.map(take, lives) if shard is not None]
     assert [shard.epoch for shard in taken] == [1]
 
 
-def test_one_process_takes_a_shard_once(cell):
-    """A handover and the look at the table meet in one placer.
+def test_one_process_takes_over_a_shard_once(cell):
+    """A handover and a poll of the table coincide in one placer.
 
-    Both found the shard free; two journals at one epoch would write the same
-    segments, and each would take the other for a newer owner.
+    Both found the shard without an owner. Two journals at one epoch would write the
+    same segments, and each would assume that the other belongs to a newer owner.
     """
     placer = add_placer(cell, "placer-1")
     row = read_shard(placer.process.table, SHARD)
@@ -74,16 +74,16 @@
 @pytest.mark.parametrize("fault", [DOWN, LOST, LATE])
 @pytest.mark.parametrize("second", [None, DOWN, LOST, LATE])
 def test_claim_whose_answer_is_lost_gives_one_owner(cell, fault, second):
-    """The table's answer to a claim is lost, while another placer claims too.
+    """The table's answer to a claim is lost while another placer claims as well.
 
-    At any epoch one placer at most may serve the shard, and its journal takes
-    what it writes.
+    At most one placer may serve the shard at any epoch, and the last claim must be
+    that of a placer that serves.
     """
-    placers = [add_placer(cell, f"placer-{number}") for number in range(2)]
-    placers[0].pool.arm({1: fault, 2: second})
+    lives = [add_placer(cell, f"placer-{number}") for number in range(2)]
+    lives[0].pool.arm({1: fault, 2: second})
     served = []
     for _ in range(3):
-        for placer in placers:
+        for placer in lives:
             try:
                 row = read_shard(placer.process.table, SHARD)
                 shard = placer.owner.take_over(row)
@@ -92,14 +92,14 @@
             served += [shard] if shard is not None else []
     epochs = [shard.epoch for shard in served]
     assert len(set(epochs)) == len(epochs) >= 1
-    last = read_shard(placers[1].process.table, SHARD)
+    last = read_shard(lives[1].process.table, SHARD)
     assert last.epoch == max(epochs)
 
 
-def test_claim_is_gone_on_with_after_the_store_failed(cell):
-    """The object store fails between the claim and the reading of the journal.
+def test_claim_is_resumed_after_the_store_failed(cell):
+    """The object store fails after the claim, before the journal is read.
 
-    The shard was claimed again at each look, which fences every host again.
+    The shard was claimed again at each poll, and each claim fences every host again.
     """
     before = cell.start("placer-1")
     for number in range(70):
@@ -125,8 +125,8 @@
 def test_worker_that_cannot_be_reached_counts_as_full(cell):
     """A worker runs tasks of a dead owner and does not answer its successor.
 
-    Taken for empty it would get more than it holds. It stays closed until it
-    answers, and then counts what it runs.
+    If it counted as empty, it would be overfilled. It stays closed until it answers,
+    and its running tasks are then subtracted from its capacity.
     """
     first = cell.start("placer-1")
     worker = entry_of(first, "worker")
@@ -146,11 +146,11 @@
     ) - Amounts.from_mapping(DEMAND)
 
 
-def test_owner_that_wakes_after_a_takeover_starts_nothing(cell):
-    """A placer is frozen between its check and its send, and wakes too late.
+def test_owner_that_resumes_after_a_takeover_starts_nothing(cell):
+    """A placer is frozen between its check and its send, and resumes too late.
 
-    Its successor has filled the worker and the instance; what it sends under
-    its old epoch is refused by both, and its journal by the table.
+    Its successor has fenced the worker and the instance, so both refuse calls under
+    the old epoch, and the table refuses the writes of its journal.
     """
     frozen = cell.start("placer-1")
     frozen.submit(ONCE)
@@ -171,7 +171,7 @@
 
 
 def test_slots_in_use_are_counted_by_the_next_owner(cell):
-    """Calls run on when their placer dies; the next owner counts their slots."""
+    """Calls continue when their placer dies; the next owner counts their slots."""
     first = cell.start("placer-1")
     instance = entry_of(first, "instance")
     standin = cell.platform.instances._instances[instance.name]
--- a/tests/placer/test_work.py
+++ b/tests/placer/test_work.py
@@ -27,10 +27,10 @@
     answer = placer.submit(ONCE, wait=8.0)
     placer.settle()
     placer.clock.advance(7.9)
-    placer.desk.answer_overdue()
+    placer.dispatcher.answer_overdue()
     assert not answer.done()
     placer.clock.advance(0.2)
-    placer.desk.answer_overdue()
+    placer.dispatcher.answer_overdue()
     assert answer.result(0).state == WAITING
 
 
@@ -57,10 +57,10 @@
     placer = cell.start("placer-1")
     placer.submit(ONCE)
     placer.settle()
-    with placer.held():
+    with placer.paused_journal():
         starting = placer.start_run()
         placer.wait_for_records(1)
-        cancelled = placer.desk.cancel(placer.shard, ID)
+        cancelled = placer.dispatcher.cancel(placer.shard, ID)
     starting.join()
     placer.settle()
     assert cell.runs(ID) == 1
@@ -73,8 +73,8 @@
     placer = cell.start("placer-1")
     placer.submit(ONCE)
     placer.settle()
-    with placer.held():
-        cancelled = placer.desk.cancel(placer.shard, ID)
+    with placer.paused_journal():
+        cancelled = placer.dispatcher.cancel(placer.shard, ID)
         starting = placer.start_run()
         placer.wait_for_records(2)
     starting.join()
@@ -178,15 +178,17 @@
     placer.settle()
     writes = cell.platform.table.writes
     ids = [item.request_id for item in placer.shard.work_index.items]
-    with placer.held():
-        answers = [placer.desk.cancel(placer.shard, request_id) for request_id in ids]
-        again = placer.desk.cancel(placer.shard, ids[0])
+    with placer.paused_journal():
+        answers = [
+            placer.dispatcher.cancel(placer.shard, request_id) for request_id in ids
+        ]
+        again = placer.dispatcher.cancel(placer.shard, ids[0])
     placer.settle()
     # 10,000 records at 256 to a segment, and one compaction.
     assert cell.platform.table.writes - writes <= 41
     assert {answer.result(5).outcome for answer in answers} == {"not_run"}
     assert again.result(5).outcome == "not_run"
-    assert placer.desk.take(0) is None or not placer.run_all()
+    assert placer.dispatcher.take(0) is None or not placer.run_all()
     assert not cell.platform.instances.runs()
 
 
