--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Start whole cells on loopback, with stand-ins of the platform, and use them."""
+"""Run complete cells on loopback with stand-ins for the platform."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Show the whole path: start a cell, roll its bundle, send real requests."""
+"""Start a cell, roll out its bundle, send requests of each kind, check the answers."""
 
 import json
 import sys
@@ -21,9 +21,9 @@
         self.failures = 0
         self.sent = 0
         services = cell.bundle["services"]
-        self.urgent = _name(services, "urgent", True)
-        self.deferred = _name(services, "deferred", True)
-        self.once = _name(services, "urgent", False)
+        self.urgent = _find_service(services, "urgent", True)
+        self.deferred = _find_service(services, "deferred", True)
+        self.once = _find_service(services, "urgent", False)
         self.job = cell.bundle["jobs"][0]["name"]
 
     def run(self):
@@ -31,8 +31,8 @@
             payload = {"number": number}
             self.urgent_request(payload, self.addresses[number % 3])
         self.deferred_request({"week": 48})
-        self.once_twice({"run": 1})
-        self.job_of_three()
+        self.send_duplicates({"run": 1})
+        self.job_with_three_members()
         return self.failures
 
     def urgent_request(self, payload, address):
@@ -49,7 +49,7 @@
         is_whole = found.get("outcome") == "done" and result.get("payload") == payload
         self.check(is_whole, "deferred", found)
 
-    def once_twice(self, payload):
+    def send_duplicates(self, payload):
         body = {"service": self.once, "payload": payload}
         headers = {"Idempotency-Key": f"demo-{self.once}"}
         with ThreadPoolExecutor(2) as executor:
@@ -64,7 +64,7 @@
         runs = self.cell.control("counts")["runs"].get(request_id)
         self.check(runs == 1, "once", f"ran {runs} times")
 
-    def job_of_three(self):
+    def job_with_three_members(self):
         body = {
             "job": self.job,
             "members": 3,
@@ -108,13 +108,13 @@
             trace_id=headers.get("Trace-Id"),
         )
 
-    def check(self, is_right, kind, found):
-        if not is_right:
+    def check(self, is_correct, kind, found):
+        if not is_correct:
             self.failures += 1
             _print(cell=self.cell.deployment, wrong=kind, found=repr(found)[:500])
 
 
-def _name(services, urgency, repeatable):
+def _find_service(services, urgency, repeatable):
     for found in services:
         if (found["urgency"], found["repeatable"]) == (urgency, repeatable):
             return found["name"]
@@ -136,7 +136,7 @@
             sent += demo.sent
             if keep:
                 _print(cell=deployment, platform=cell.url, gateways=demo.addresses)
-                sys.stdout.write("Press Enter to go on.\n")
+                sys.stdout.write("Press Enter to continue.\n")
                 sys.stdin.readline()
     verdict = "ok" if not failures else "wrong"
     _print(demo=verdict, requests=sent, wrong=failures)
--- a/demo/cells.py
+++ b/demo/cells.py
@@ -1,4 +1,4 @@
-"""Start a whole cell as processes on loopback, for tests, demo and benchmarks."""
+"""Run a complete cell as processes on loopback, for tests, demo and benchmarks."""
 
 import http.client
 import json
@@ -21,7 +21,7 @@
 
 
 def json_lines(path):
-    """Return the JSON lines of a log, decoded; a half written one is left out."""
+    """Return the decoded JSON lines of a log, without incomplete lines."""
     found = []
     for line in path.read_text().splitlines():
         try:
@@ -32,7 +32,7 @@
 
 
 class Daemon:
-    """One process of the system."""
+    """A gateway or placer process with its log and addresses."""
 
     def __init__(self, name, kind, place, process, log):
         self.name = name
@@ -43,7 +43,7 @@
         self.addresses = {}
 
     def wait_for_line(self, message):
-        """Wait until a log line with a message is written, and return it."""
+        """Wait for a log line with this message and return it."""
         deadline = time.monotonic() + START_SECONDS
         while time.monotonic() < deadline:
             for line in self.lines():
@@ -55,7 +55,7 @@
         raise AssertionError(f"{self.name}: no {message!r}: {self.log.read_text()}")
 
     def lines(self):
-        """Return the JSON lines written so far."""
+        """Return the decoded JSON lines logged so far."""
         return json_lines(self.log)
 
     def signal(self, number):
@@ -63,7 +63,7 @@
 
 
 class Cell:
-    """A platform of stand-ins, three gateways and three placers."""
+    """A cell with a gateway and a placer in each zone, and the platform's stand-ins."""
 
     def __init__(self, deployment, extra_environment=None):
         self.deployment = deployment
@@ -120,7 +120,7 @@
         return self
 
     def add(self, kind, name, region, zone):
-        """Start one process; it is not on the live list yet."""
+        """Start one process; ``announce`` adds it to the live list."""
         log = Path(self.folder.name) / f"{name}.log"
         environment = {
             **self._environment(),
@@ -140,7 +140,7 @@
         self._announce(daemon)
 
     def roll(self, path, signers=("ana", "ben")):
-        """Sign a bundle file and roll it with the real command line."""
+        """Sign a bundle file and roll it out with the papayapick commands."""
         signed = Path(self.folder.name) / "signed.json"
         source = path
         for name in signers:
@@ -152,7 +152,7 @@
         return self.command("bundle", "roll", signed, "--operator=ana", "--json")
 
     def command(self, *arguments, check=True):
-        """Run papayapick and return what it printed."""
+        """Run a papayapick command and return the completed process."""
         found = subprocess.run(
             [sys.executable, "-m", "papayapick.management.program"]
             + [str(argument) for argument in arguments],
@@ -167,7 +167,7 @@
         return found
 
     def wait_ready(self):
-        """Wait until every gateway can place and every shard is served."""
+        """Wait until all processes are ready and every shard has an owner."""
         deadline = time.monotonic() + START_SECONDS
         waiting = set(self.daemons)
         count = self.bundle["topology"]["shards_per_zone"] * len(self.zones)
@@ -178,14 +178,14 @@
                 if self._ready(self.daemons[name]):
                     waiting.discard(name)
             threading.Event().wait(0.05)
-        self.wait_until(self._serves_all, "a gateway without a served shard")
+        self.wait_until(self._serves_all, "a gateway does not accept requests")
 
-    def wait_until(self, condition, what):
+    def wait_until(self, condition, description):
         """Poll a condition until it holds."""
         deadline = time.monotonic() + START_SECONDS
         while not condition():
             if time.monotonic() > deadline:
-                raise AssertionError(what)
+                raise AssertionError(description)
             threading.Event().wait(0.05)
 
     def owned_shards(self):
@@ -202,7 +202,7 @@
         return json.loads(body)["value"]["owner"]
 
     def metric(self, daemon, name):
-        """Return one metric without labels of a process."""
+        """Return the value of a metric without labels of a process, or 0."""
         _, _, body = http_call(daemon.addresses["http"], "GET", "/metrics")
         for line in body.decode().splitlines():
             if line.startswith(name + " "):
@@ -210,13 +210,13 @@
         return 0.0
 
     def control(self, path, **values):
-        """Set faults at the stand-ins, and return their counts."""
+        """Send a control request to the stand-ins and return their counts."""
         netloc = urllib.parse.urlsplit(self.url).netloc
         _, _, body = http_call(netloc, "POST", "/control/" + path, values)
         return json.loads(body)
 
     def stop(self):
-        """End every process that was started, by its id."""
+        """Kill every process that was started, and remove the folder."""
         processes = [daemon.process for daemon in self.daemons.values()]
         if self.platform is not None:
             processes.append(self.platform)
