--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measure speed, memory and bytes; each module is a command."""
+"""Benchmarks of speed, memory and bytes; each module is run as a command."""
--- a/benchmarks/cancellations.py
+++ b/benchmarks/cancellations.py
@@ -1,9 +1,9 @@
-"""Cancel thousands of jobs at once while urgent slots are asked for.
+"""Cancel thousands of jobs at once while urgent slots are requested.
 
-Run as ``python -m benchmarks.cancellations [--json]``. The real work desk, job
-queue, journal and slot desk run in one process against a table in memory, with
-the runtime's clock and the journal's own rate of writes. ``decision`` is the time
-in the slot desk; ``late`` counts from the moment at which a request was due.
+Run as ``python -m benchmarks.cancellations [--json]``. The real work dispatcher, job
+queue, journal and slot allocator run in one process against a table in memory, with the
+system clock and the usual rate of journal writes. ``decision`` is the time spent in the
+slot allocator; ``late`` is measured from the time at which a request was due.
 """
 
 import random
@@ -35,7 +35,7 @@
 
 
 class Cell:
-    """Hold one shard with instances, one full worker and jobs that wait."""
+    """One shard with instances, one full worker and waiting jobs."""
 
     def __init__(self, jobs):
         self.clock = SystemClock()
@@ -58,19 +58,19 @@
         self.table.rows[row.key] = Row(row.key, {}, 1)
         bucket = TokenBucket(WRITES_PER_SECOND, WRITES_PER_SECOND, self.clock)
         self.shard = Shard(row, self.process, bucket, lambda shard: None)
-        self.desk = WorkDispatcher(self.process)
-        self.runner = JobRunner(self.process, WorkerClient(None), self.desk)
+        self.dispatcher = WorkDispatcher(self.process)
+        self.runner = JobRunner(self.process, WorkerClient(None), self.dispatcher)
         self.executor.submit(self.shard.journal.run)
         self._add_instances()
         self._fill(jobs)
 
     def close(self):
-        """End the journal and every task."""
+        """Close the journal and shut down the executor."""
         self.shard.journal.close()
         self.executor.shutdown(wait=True, cancel_futures=True)
 
-    def ask(self, number):
-        """Ask for one slot and give it back."""
+    def request_slot(self, number):
+        """Request one slot, release it, and return the seconds of the request."""
         wanted = SlotRequest(
             shard=self.shard.name,
             service="counts",
@@ -86,8 +86,8 @@
         return spent
 
     def cancel_all(self, jobs):
-        """Cancel every job; return when all are durable."""
-        answers = [self.desk.cancel(self.shard, f"job-{n}") for n in range(jobs)]
+        """Cancel every job and wait until all cancellations are durable."""
+        answers = [self.dispatcher.cancel(self.shard, f"job-{n}") for n in range(jobs)]
         wait(answers)
         assert all(answer.result().outcome == "not_run" for answer in answers)
 
@@ -119,15 +119,15 @@
                 wait_milliseconds=0,
                 job=BODY,
             )
-            answers.append(self.desk.submit(self.shard, wanted, policy))
+            answers.append(self.dispatcher.submit(self.shard, wanted, policy))
         wait(answers)
-        while (found := self.desk.take(0.0)) is not None:
+        while (found := self.dispatcher.take(0.0)) is not None:
             self.runner.run(*found)
         assert len(self.shard.jobs) == jobs
 
 
-class Asker:
-    """Ask for slots at a fixed rate and note how long each took."""
+class SlotRequester:
+    """Request slots at a fixed rate and record the duration and lateness of each."""
 
     def __init__(self, cell):
         self.cell = cell
@@ -151,20 +151,20 @@
             rest = due - time.perf_counter()
             if rest > 0:
                 self._stop.wait(rest)
-            self.spent.append(self.cell.ask(number))
+            self.spent.append(self.cell.request_slot(number))
             self.late.append(time.perf_counter() - due)
             number += 1
 
 
-def row(name, asker, seconds, cancels):
+def row(name, requester, seconds, cancels):
     return {
         "phase": name,
         "switch_ms": sys.getswitchinterval() * 1000,
-        "requests": len(asker.spent),
-        "decision_median_us": percentile(asker.spent, 0.5) * 1e6,
-        "decision_p99_us": percentile(asker.spent, 0.99) * 1e6,
-        "decision_p999_us": percentile(asker.spent, 0.999) * 1e6,
-        "late_p99_us": percentile(asker.late, 0.99) * 1e6,
+        "requests": len(requester.spent),
+        "decision_median_us": percentile(requester.spent, 0.5) * 1e6,
+        "decision_p99_us": percentile(requester.spent, 0.99) * 1e6,
+        "decision_p999_us": percentile(requester.spent, 0.999) * 1e6,
+        "late_p99_us": percentile(requester.late, 0.99) * 1e6,
         "cancels": cancels,
         "wave_s": seconds,
     }
@@ -174,14 +174,14 @@
     cell = Cell(jobs)
     rows = []
     try:
-        with Asker(cell) as asker:
+        with SlotRequester(cell) as requester:
             threading.Event().wait(QUIET_SECONDS)
-        rows.append(row("quiet", asker, 0.0, 0))
+        rows.append(row("quiet", requester, 0.0, 0))
         began = time.perf_counter()
-        with Asker(cell) as asker:
+        with SlotRequester(cell) as requester:
             cell.cancel_all(jobs)
             cell.runner.start_waiting(cell.shard)
-        rows.append(row("wave", asker, time.perf_counter() - began, jobs))
+        rows.append(row("wave", requester, time.perf_counter() - began, jobs))
     finally:
         cell.close()
     return rows
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from.
+"""Measure the cost of each unit of load, from which docs/CAPACITY.md is computed.
 
-Run as ``python -m benchmarks.capacity [--json]``. Memory is what Python's
-allocator counts; times are processor time of one thread. Each row gives the
-slope of one amount, at the size named in the row.
+Run as ``python -m benchmarks.capacity [--json]``. Memory is measured by Python's
+allocator; times are processor time of one thread. Each row gives the cost of one unit,
+at the size named in the row.
 """
 
 import json
@@ -52,15 +52,15 @@
 def _ledger():
     tracemalloc.start()
     ledger, workers = HostLedger(), [f"worker-{n:05d}" for n in range(WORKERS)]
-    before = _held()
+    before = _allocated_bytes()
     for name in workers:
         ledger.add(name, CAPACITY)
         ledger.open(name)
-    per_worker = (_held() - before) / WORKERS
-    before = _held()
+    per_worker = (_allocated_bytes() - before) / WORKERS
+    before = _allocated_bytes()
     for number, name in enumerate(REQUEST_IDS):
         ledger.reserve(workers[number % WORKERS], name, DEMAND)
-    per_task = (_held() - before) / TASKS
+    per_task = (_allocated_bytes() - before) / TASKS
     tracemalloc.stop()
     yield _row("host ledger, a worker", per_worker, "bytes", f"{WORKERS} workers")
     yield _row("host ledger, a task", per_task, "bytes", f"{TASKS} tasks")
@@ -96,7 +96,7 @@
 
 def _slots():
     for count in (24, 100, 1000):
-        desk = SlotAllocator(
+        allocator = SlotAllocator(
             "hobart-a.0",
             1,
             SlotLedger(),
@@ -104,23 +104,23 @@
             ManualClock(),
         )
         for number in range(count):
-            desk.with_ledger(lambda ledger, number=number: _add(ledger, number))
+            allocator.with_ledger(lambda ledger, number=number: _add(ledger, number))
         wanted = SlotRequest(
             service="s", wait_milliseconds=1000, run_milliseconds=1000, avoid=[]
         )
 
-        def step(number, desk=desk, wanted=wanted):
-            desk.release(desk.request(wanted, 100).grant_id)
+        def step(number, allocator=allocator, wanted=wanted):
+            allocator.release(allocator.request(wanted, 100).grant_id)
 
         microseconds = _microseconds(step, 2000)
         yield _row(
             "grant and release of a slot", microseconds, "us", f"{count} instances"
         )
     tracemalloc.start()
-    ledger, before = SlotLedger(), _held()
+    ledger, before = SlotLedger(), _allocated_bytes()
     for number in range(1000):
         _add(ledger, number)
-    per_instance = (_held() - before) / 1000
+    per_instance = (_allocated_bytes() - before) / 1000
     tracemalloc.stop()
     yield _row("slot ledger, an instance", per_instance, "bytes", "1000 instances")
 
@@ -152,11 +152,11 @@
         )
     del records
     tracemalloc.start()
-    work_index, before = WorkIndex(), _held()
+    work_index, before = WorkIndex(), _allocated_bytes()
     for number in range(5000):
         for record in _records(number):
             work_index.apply(record)
-    per_item = (_held() - before) / 5000
+    per_item = (_allocated_bytes() - before) / 5000
     tracemalloc.stop()
     yield _row(
         "work book, a request that has ended", per_item, "bytes", "5000 requests"
@@ -166,7 +166,7 @@
 
 
 class _NoTable:
-    """Take transactions as a client does, up to the bytes that would be sent."""
+    """Encode transactions as a client does, without sending them."""
 
     def transact(self, conditions, writes):
         json.dumps([write.value for write in writes]).encode()
@@ -241,9 +241,9 @@
         "live list, an entry", len(data) / WORKERS, "bytes", f"{WORKERS} entries"
     )
     tracemalloc.start()
-    held = _held()
+    held = _allocated_bytes()
     entries = [HostEntry(**one) for one in json.loads(data)["hosts"]]
-    per_entry = (_held() - held) / len(entries)
+    per_entry = (_allocated_bytes() - held) / len(entries)
     tracemalloc.stop()
     del entries
 
@@ -255,21 +255,21 @@
     def group(number):
         return HostListing().of_shard("zone-0-0.0", listed, 4)
 
-    def look(number):
+    def list_again(number):
         return listing.of_shard("zone-0-0.0", listed, 4)
 
     listed = step(0)
     listing = HostListing()
     grouped = _microseconds(group, 10) / WORKERS
     yield _row("live list, an entry grouped", grouped, "us", "once for each list")
-    looked = _microseconds(look, 1000)
+    looked = _microseconds(list_again, 1000)
     yield _row("live list, looked at again", looked, "us", "for each shard")
     yield _row("live list, an entry held", per_entry, "bytes", f"{WORKERS} entries")
     yield _row("live list, an entry read", spent, "us", f"{WORKERS} entries")
 
 
 def _leases():
-    """Give the bodies of a renewal, without the heads of HTTP."""
+    """Yield the sizes of the bodies of a renewal, without the HTTP headers."""
     tasks = [f"{name}.1.0" for name in REQUEST_IDS[:LEASED]]
     report = {
         "state": "running",
@@ -277,10 +277,12 @@
         "usage": DEMAND.as_mapping(),
         "result": "",
     }
-    asked = {"epoch": 12, "tasks": tasks, "lease_seconds": 60.0}
-    told = {"tasks": [{"task": name, **report} for name in tasks]}
-    bare = len(json.dumps({**asked, "tasks": []})) + len(json.dumps({"tasks": []}))
-    whole = len(json.dumps(asked)) + len(json.dumps(told))
+    request_body = {"epoch": 12, "tasks": tasks, "lease_seconds": 60.0}
+    reply_body = {"tasks": [{"task": name, **report} for name in tasks]}
+    bare = len(json.dumps({**request_body, "tasks": []})) + len(
+        json.dumps({"tasks": []})
+    )
+    whole = len(json.dumps(request_body)) + len(json.dumps(reply_body))
     yield _row("lease renewal, a worker", bare, "bytes", "without tasks")
     size = f"{LEASED} tasks"
     yield _row("lease renewal, a task", (whole - bare) / LEASED, "bytes", size)
@@ -289,12 +291,12 @@
 def _quotas():
     teams = {f"team-{n}": {"processors": 1000 * n} for n in range(TEAMS)}
     tracemalloc.start()
-    before = _held()
+    before = _allocated_bytes()
     tracker = QuotaTracker()
     tracker.set_quotas("digest", teams, 52)
     for name in teams:
         tracker.add_usage(name, DEMAND, 1)
-    per_team = (_held() - before) / TEAMS
+    per_team = (_allocated_bytes() - before) / TEAMS
     tracemalloc.stop()
 
     def use(number):
@@ -309,12 +311,12 @@
     yield _row("whether a job borrows", _microseconds(ask, 5000), "us", size)
 
 
-def _held():
+def _allocated_bytes():
     return tracemalloc.get_traced_memory()[0]
 
 
 def _microseconds(step, count):
-    """Return the least of five means, so that a busy moment does not count."""
+    """Return the lowest of five means, to exclude other load on the machine."""
     means = []
     for part in range(5):
         numbers = range(part * count // 5, (part + 1) * count // 5)
--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -1,8 +1,8 @@
 """Processor time of an owner's decisions, by number of workers.
 
-Run as ``python -m benchmarks.choosing [--json]``. A replay hands in 40 jobs of ten
-tasks a second for three seconds, simulated; ``seconds`` is the processor time of all
-of it, the simulated workers included, the least of three.
+Run as ``python -m benchmarks.choosing [--json]``. A simulation submits 40 jobs of ten
+tasks a second for three simulated seconds; ``seconds`` is the lowest processor time of
+three simulations, including the simulated workers.
 """
 
 import time
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,10 +1,10 @@
-"""Measure what control costs over the paid link, idle and under local load.
+"""Measure the control traffic over the paid link, idle and under local load.
 
-Run as ``python -m benchmarks.control [--json]``. A cell of 9 gateways and 9
-placers runs as processes, six of each in the store's region, three in the
-other; what the other region's processes ask of the platform passes a counting
-relay. The baseline, each process asking each far placer every 2 s and polling
-the store every second, is worked out from the same cell's real messages.
+Run as ``python -m benchmarks.control [--json]``. A cell of 9 gateways and 9 placers
+runs as processes, six of each in the store's region, three in the other. Requests of
+the other region's processes to the platform pass through a relay that counts bytes. The
+baseline is computed from the sizes of the same cell's messages: each process sends a
+heartbeat to each remote placer every 2 s and polls the store every second.
 """
 
 import re
@@ -38,7 +38,7 @@
 
 
 class CountingRelay:
-    """Pass connections on to an address and count the bytes both ways."""
+    """Forward connections to an address and count the bytes in both directions."""
 
     def __init__(self, url):
         parts = urllib.parse.urlsplit(url)
@@ -70,12 +70,12 @@
             sink.close()
 
     def close(self):
-        """Take no more connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
 
 class WideCell(Cell):
-    """Three gateways and three placers in each zone."""
+    """A cell with three gateways and three placers in each zone."""
 
     relay = None
 
@@ -85,7 +85,7 @@
         return self.bundle["topology"]["store_region"]
 
     def add(self, kind, name, region, zone):
-        """Start a process; one far from the store reaches it by the relay."""
+        """Start a process; outside the store's region it uses the relay."""
         if self.relay is None:
             self.relay = CountingRelay(self.url)
         self.environment = {}
@@ -110,7 +110,7 @@
         self.wait_ready()
 
     def link_bytes(self):
-        """Return the bytes over the link so far, by purpose."""
+        """Return the bytes sent over the link so far, by purpose."""
         found = {"table and list": self.relay.bytes}
         for daemon in self.daemons.values():
             text = http_call(daemon.addresses["http"], "GET", "/metrics")[2].decode()
@@ -124,11 +124,11 @@
 
 
 def baseline(cell):
-    """Return bytes a second of the way before, by purpose."""
+    """Return the baseline in bytes per second, by purpose."""
     far = [d for d in cell.daemons.values() if d.place["region"] != cell.store_region]
     near = [d for d in cell.daemons.values() if d not in far]
     sizes = {
-        daemon.name: whole_heartbeat(cell, daemon) for daemon in cell.daemons.values()
+        daemon.name: heartbeat_size(cell, daemon) for daemon in cell.daemons.values()
     }
     exchanged = 0
     for askers, asked in ((near, far), (far, near)):
@@ -145,8 +145,8 @@
     }
 
 
-def whole_heartbeat(cell, daemon):
-    """Return the size of a process's heartbeat with all its shards."""
+def heartbeat_size(cell, daemon):
+    """Return the size in bytes of a process's heartbeat with all its shards."""
     keys = CellKeys.from_file(f"{cell.folder.name}/cell.key")
     host, _, port = daemon.addresses["peer"].rpartition(":")
     identity = Hello(host="benchmark", **daemon.place)
@@ -165,7 +165,7 @@
 
 
 def poll_sizes(cell):
-    """Return the bytes of a look at the head, a scan and an unchanged list."""
+    """Return the bytes of a poll of the head, a scan, and an unchanged host list."""
     relay = CountingRelay(cell.url)
     pool = HttpPool(5.0)
     table, hosts = (
@@ -183,8 +183,8 @@
     return sizes
 
 
-def load(cell):
-    """Send urgent requests to every gateway; return how many were answered."""
+def send_load(cell):
+    """Send urgent requests to every gateway; return the number of successful ones."""
     service = next(s for s in cell.bundle["services"] if s["repeatable"])["name"]
     addresses = [found.addresses["http"] for found in cell.gateways]
     body = {"service": service, "payload": 1}
@@ -206,7 +206,7 @@
         idle = difference(before, cell.link_bytes(), time.monotonic() - began)
         base = baseline(cell)
         began, before = time.monotonic(), cell.link_bytes()
-        placed = load(cell)
+        placed = send_load(cell)
         seconds = time.monotonic() - began
         loaded = difference(before, cell.link_bytes(), seconds)
         cell.relay.close()
@@ -214,7 +214,8 @@
         row(name, base.get(name, 0), idle[name], loaded[name], seconds, placed)
         for name in sorted(idle)
     ]
-    # Polls are seldom and may miss the short load: their lack makes up for nothing.
+    # Polls are rare and may not fall into the short load; the missing ones must not
+    # offset other traffic, so the extra bytes are summed by purpose.
     totals = [sum(found.values()) for found in (base, idle, loaded)]
     extra = sum(found["extra_bytes_per_1000"] for found in rows)
     rows.append(row("all", *totals, seconds, placed) | {"extra_bytes_per_1000": extra})
--- a/benchmarks/deferred.py
+++ b/benchmarks/deferred.py
@@ -1,10 +1,10 @@
 """Run a day of urgent and deferred jobs on one shard.
 
-Run as ``python -m benchmarks.deferred [--json]``. Urgent jobs follow a day's
-pattern with a flash at opening time; deferred work is lodged through the day with
-deadlines of hours. A checkpoint takes two seconds before its room is free; the
-paused job goes on from it. Urgent waiting is compared with the same urgent
-arrivals alone.
+Run as ``python -m benchmarks.deferred [--json]``. Urgent jobs follow a daily pattern
+with a load spike at opening time; deferred jobs are submitted during the day with
+deadlines of hours. A checkpoint takes two seconds before its resources are released,
+and the paused job resumes from it. Waiting times of urgent jobs are compared with those
+of the same urgent arrivals without deferred jobs.
 """
 
 import heapq
@@ -64,7 +64,7 @@
 
 
 def _arrival(generator):
-    # A tenth comes in the flash, the rest follows the hour of the day.
+    # A tenth arrives in the load spike; the rest follows the hour of the day.
     if generator.random() < 0.1:
         return OPENING + float(generator.uniform(0, FLASH_SECONDS))
     while True:
@@ -74,7 +74,7 @@
 
 
 class Day:
-    """Drive one queue through the drawn arrivals."""
+    """Simulate a day of the generated arrivals with one queue."""
 
     def __init__(self, jobs, policy, order, has_pauses):
         self.ledger = HostLedger()
@@ -93,7 +93,7 @@
         self.pauses = 0
 
     def run(self):
-        """Take every event in its time."""
+        """Process all events in order of time."""
         while self.events:
             now, _, kind, found = heapq.heappop(self.events)
             getattr(self, "_" + kind)(now, found)
@@ -118,7 +118,7 @@
         self.queue.add(job)
 
     def _end(self, now, start):
-        # One that was paused meanwhile has another end, or none yet.
+        # A run that was paused meanwhile ends by a later event.
         if start.is_pausing or start.job.name in self.ended:
             return
         self.ended[start.job.name] = now
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -1,4 +1,4 @@
-"""Hand in durable work and wait for its end."""
+"""Submit durable work and wait for its end."""
 
 import json
 import threading
@@ -8,17 +8,17 @@
 __all__ = ["run_durable"]
 
 
-def run_durable(address, path, body, look_seconds):
-    """Return once a request or job that is to succeed is done.
+def run_durable(address, path, body, poll_interval):
+    """Submit a request or job, poll it until it has ended, and assert its success.
 
     Parameters
     ----------
     address : str
-        Of a gateway.
+        Address of a gateway.
     path : str
     body : dict
-    look_seconds : float
-        Between two looks at its state.
+    poll_interval : float
+        Interval between two polls of its state.
     """
     status, headers, _ = http_call(address, "POST", path, body)
     assert status == 202
@@ -27,4 +27,4 @@
         if found["state"] == "ended":
             assert found["outcome"] == "done", found
             return
-        threading.Event().wait(look_seconds)
+        threading.Event().wait(poll_interval)
--- a/benchmarks/echo.py
+++ b/benchmarks/echo.py
@@ -1,7 +1,8 @@
-"""Answer as backend servers do, at little cost; a program for benchmarks.
+"""Backend server with little processor time per request, for benchmarks.
 
-Run as ``python -m benchmarks.echo``; it prints its address as a JSON line and
-serves until it is ended. The stand-in of the tests costs more than a gateway.
+Run as ``python -m benchmarks.echo``. Prints its address as a JSON line and serves until
+the process is terminated. The stand-in of the tests needs more processor time per
+request than a gateway, and would limit the measured throughput.
 """
 
 import json
--- a/benchmarks/estimates.py
+++ b/benchmarks/estimates.py
@@ -1,10 +1,10 @@
-"""Pack tasks by their declared sizes, or by what their kind was seen to use.
+"""Pack tasks by their declared sizes, or by the observed usage of their kind.
 
-Run as ``python -m benchmarks.estimates [--json]``. Each kind of job declares its
-size wrongly by a factor from 0.25 to 8; tasks of a kind vary around its use. Use
-is reported 60 s late. Jobs always wait; the real ledger and estimates decide. A
-task counts as throttled where the use on its host was above its processors, and
-as starved of memory likewise, at any time while it ran.
+Run as ``python -m benchmarks.estimates [--json]``. The declared size of each kind of
+job is wrong by a factor from 0.25 to 8, and the usage of its tasks varies. Usage is
+reported 60 s late. There are always waiting jobs; the real ledger and estimates are
+used. A task counts as throttled if the usage on its host exceeded its processors at any
+time during its run, and as starved likewise for memory.
 """
 
 import heapq
@@ -24,7 +24,7 @@
 
 
 class Tasks:
-    """Draw tasks: their kind, declared size, real use and run time."""
+    """Generate tasks with their kind, declared size, real usage and run time."""
 
     def __init__(self):
         self.generator = numpy.random.default_rng(SEED)
@@ -34,7 +34,7 @@
         self.error = numpy.exp(draw.uniform(numpy.log(0.25), numpy.log(8), KINDS))
 
     def next(self):
-        """Return kind, declared size, real use and seconds of a task."""
+        """Return kind, declared size, real usage and run time of the next task."""
         kind = int(self.generator.integers(KINDS))
         vary = self.generator.lognormal(0, 0.25, 2)
         used = Amounts(
@@ -49,7 +49,7 @@
 
 
 class Cell:
-    """Place tasks whenever one ends; watch the real use of each host."""
+    """Place tasks whenever one ends, and track the real usage of each host."""
 
     def __init__(self, policy_of):
         self.ledger = HostLedger()
@@ -65,7 +65,7 @@
         self.over = 0
 
     def run(self):
-        """Start so many tasks; return the mean share of processors really used."""
+        """Start all tasks; return the mean share of processors really used."""
         tasks, hosts, number = Tasks(), BestFit(), 0
         waiting = tasks.next()
         while number < STARTS:
@@ -102,17 +102,17 @@
         heapq.heappush(self.events, (end + LAG_SECONDS, 2, number, found))
 
     def _next_event(self):
-        at, what, number, (name, _, used, kind) = heapq.heappop(self.events)
+        at, event, number, (name, _, used, kind) = heapq.heappop(self.events)
         share = self.total / (WORKERS * CAPACITY.processors)
         self.area += (at - self.now) * share
         self.now = at
-        if what == 0:
+        if event == 0:
             self.ledger.release(number)
             self.used[name][0] -= used.processors
             self.used[name][1] -= used.memory
             self.total -= used.processors
             self.on_host[name].discard(number)
-        elif what == 1:
+        elif event == 1:
             self.ledger.grow(number, used)
         else:
             self.policy.observe(kind, used)
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -1,4 +1,4 @@
-"""Run drawn arrivals against the decision code with a manual clock."""
+"""Discrete-event simulation with a manual clock."""
 
 import heapq
 import itertools
@@ -9,7 +9,7 @@
 
 
 class Events:
-    """Call functions at their moments; the clock stands still between them."""
+    """Call scheduled functions in order of time and advance the clock between them."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -17,12 +17,12 @@
         self._numbers = itertools.count()
 
     def after(self, seconds, action, *arguments):
-        """Call an action so many seconds from now."""
+        """Schedule an action in this number of seconds."""
         moment = self.clock.monotonic() + seconds
         heapq.heappush(self._due, (moment, next(self._numbers), action, arguments))
 
     def every(self, seconds, action, until):
-        """Call an action at an interval until a moment."""
+        """Schedule an action at a fixed interval until the given time."""
 
         def step():
             action()
@@ -32,7 +32,7 @@
         self.after(seconds, step)
 
     def run(self):
-        """Call everything that is due, in order, until nothing is left."""
+        """Call all scheduled actions in order, including those they schedule."""
         while self._due:
             moment, _, action, arguments = heapq.heappop(self._due)
             self.clock.advance(max(0.0, moment - self.clock.monotonic()))
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,8 +1,8 @@
-"""Flood one gateway with callers and count answers in the deadline.
+"""Overload one gateway with callers and count the answers within the deadline.
 
-Callers in processes of their own come back as Retry-After says. Run as
-``python -m benchmarks.flood [--json]``; the row with the largest limit is the
-baseline: it lets all requests wait for a thread.
+Callers in separate processes retry after the delay given by the gateway. Run as
+``python -m benchmarks.flood [--json]``. The rows with the largest limit are the
+baseline, in which all requests wait for a thread.
 """
 
 import http.client
@@ -51,7 +51,7 @@
 
 
 def call_for(address, callers):
-    """Return the seconds of answers and of refusals that one process met."""
+    """Send requests from one process; return latencies of answers and refusals."""
     until = time.perf_counter() + SECONDS
     answered, refused = [], []
 
--- a/benchmarks/gangs.py
+++ b/benchmarks/gangs.py
@@ -1,8 +1,8 @@
-"""Compare orders of starts for small and all-at-once jobs.
+"""Compare scheduling policies for small jobs and gangs.
 
-Run as ``python -m benchmarks.gangs [--json]``. Drawn arrivals meet the real job
-queue and ledger; a run ends after its drawn time, its bound is one to three times
-as long.
+Run as ``python -m benchmarks.gangs [--json]``. The real job queue and ledger process
+randomly generated arrivals; the declared bound of a run is one to three times its run
+time.
 """
 
 import heapq
@@ -25,8 +25,8 @@
 WORKERS = 64
 CAPACITY = Amounts(16000, 65536)
 JOBS = 3000
-# Share of jobs that are gangs, and the cores of each of their members: a member
-# of the rare ones needs a whole worker.
+# Share of jobs that are gangs, and the cores of each of their members. A member of a
+# rare gang needs a whole worker.
 MIXES = {"common gangs": (0.02, 8), "rare gangs": (0.003, 16)}
 GANG_MEMBERS = (32, 64)
 HOUR = 3600.0
@@ -63,7 +63,7 @@
 
 
 def run(policy, order, jobs):
-    """Run the arrivals; return waiting times by name, and core-seconds used."""
+    """Run the arrivals; return waiting times by job, and the late promised starts."""
     ledger = HostLedger()
     for number in range(WORKERS):
         ledger.add(f"worker-{number}", CAPACITY)
--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -1,7 +1,7 @@
-"""Measure each message between processes: bytes, encoding, decoding, code.
+"""Measure each message between processes: bytes, encoding, decoding, authentication.
 
-Run as ``python -m benchmarks.messages [--json]``. Bytes are of the whole frame,
-with its length and code; times are processor time of one thread.
+Run as ``python -m benchmarks.messages [--json]``. Bytes are those of the whole frame,
+with its length and authentication code; times are processor time of one thread.
 """
 
 import time
@@ -128,7 +128,7 @@
 
 
 def _microseconds(step):
-    """Return the least of five means, so that a busy moment does not count."""
+    """Return the lowest of five means, to exclude other load on the machine."""
     means = []
     for _ in range(5):
         began = time.thread_time()
--- a/benchmarks/observability.py
+++ b/benchmarks/observability.py
@@ -1,7 +1,7 @@
-"""Measure what spans and log lines cost a request, in processor time.
+"""Measure the processor time of spans, log lines and counters per request.
 
-Run as ``python -m benchmarks.observability [--json]``. Spans go to an exporter
-that drops them, lines to one that forgets them.
+Run as ``python -m benchmarks.observability [--json]``. The exporter discards the spans;
+log lines are written to a buffer in memory.
 """
 
 import io
@@ -26,12 +26,12 @@
 PARTS = 5
 
 
-class _Nowhere(SpanExporter):
+class _DiscardingExporter(SpanExporter):
     def export(self, spans):
         return None
 
     def shutdown(self):
-        """Hold nothing back."""
+        """Do nothing, as no spans are buffered."""
 
 
 def main():
@@ -54,7 +54,7 @@
 
 def _span(ratio, outcome):
     provider = TracerProvider(sampler=FailureSampler(ratio), shutdown_on_exit=False)
-    provider.add_span_processor(SimpleSpanProcessor(_Nowhere()))
+    provider.add_span_processor(SimpleSpanProcessor(_DiscardingExporter()))
     tracing = Tracing(provider, "benchmark")
 
     def step():
@@ -71,7 +71,7 @@
 
 
 def _microseconds(step):
-    """Return the least of five means, so that a busy moment does not count."""
+    """Return the lowest of five means, to exclude other load on the machine."""
     means = []
     for _ in range(PARTS):
         began = time.thread_time()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,10 +1,10 @@
-"""Goodput when three times the capacity arrives at opening.
+"""Goodput under a load of up to three times the capacity.
 
-The real slot desk against an unbounded first-in first-out queue, with drawn
-arrivals and service times and a manual clock: 24 instances of 8 slots. First a
-sweep over loads, then a flash: 30% of the capacity, for ten seconds 300%, and
-30% again. Whoever is refused comes back once, when told to. Run as
-``python -m benchmarks.overload [--json]``.
+Compares the real slot allocator with an unbounded first-in first-out queue, with
+randomly generated arrivals and service times and a manual clock: 24 instances of 8
+slots. First a sweep over loads, then a load spike: 30% of the capacity, for ten seconds
+300%, and 30% again. In the spike, a refused caller retries once, after the delay given
+by the refusal. Run as ``python -m benchmarks.overload [--json]``.
 """
 
 import random
@@ -31,12 +31,12 @@
 WAITING_LIMIT = 2048
 SWEEP = (0.5, 0.8, 0.95, 1.0, 1.5, 2.0, 3.0)
 SWEEP_SECONDS, WARM_SECONDS = 8.0, 2.0
-FLASH = ((0.3, 4.0), (3.0, 10.0), (0.3, 6.0))
+SPIKE = ((0.3, 4.0), (3.0, 10.0), (0.3, 6.0))
 CALLERS = 12
 
 
-class FifoDesk:
-    """Grant in the order of arrival and refuse nobody: the baseline."""
+class FifoAllocator:
+    """Grant slots in the order of arrival without refusals, as the baseline."""
 
     def __init__(self, ledger):
         self._ledger = ledger
@@ -45,7 +45,7 @@
         self._grants = 0
 
     def request(self, wanted, waiting_limit):
-        """Grant a slot or queue for one, however long the queue is."""
+        """Return a grant, or a future of it; the queue has no limit."""
         grant = None if self._waiting else self._grant(wanted)
         if grant is None:
             grant = Future()
@@ -53,14 +53,14 @@
         return grant
 
     def release(self, grant_id, outcome, run_seconds):
-        """Give the slot to the first in the queue."""
+        """Release a slot and grant it to the first request in the queue."""
         self._ledger.release(grant_id)
         if self._waiting:
             wanted, future = self._waiting.popleft()
             future.set_result(self._grant(wanted))
 
     def expire(self):
-        """Expire nobody."""
+        """Do nothing, as requests wait without limit."""
 
     def _grant(self, wanted):
         name = self._policy.choose(self._ledger, wanted.service)
@@ -79,37 +79,40 @@
     return ledger
 
 
-def deadline_desk(clock):
-    """Return the desk that the placers use."""
+def deadline_aware_allocator(clock):
+    """Return the slot allocator that the placers use."""
     policy = HealthAware(InstanceHealth(clock), random.Random(SEED))
     return SlotAllocator("a.0", 1, _ledger(), policy, clock, random.Random(SEED))
 
 
-def fifo_desk(clock):
-    """Return the baseline."""
-    return FifoDesk(_ledger())
+def fifo_allocator(clock):
+    """Return the first-in first-out allocator, the baseline."""
+    return FifoAllocator(_ledger())
 
 
-DESKS = {"deadline-aware": deadline_desk, "unbounded FIFO": fifo_desk}
+ALLOCATORS = {
+    "deadline-aware": deadline_aware_allocator,
+    "unbounded FIFO": fifo_allocator,
+}
 
 
 class Run:
-    """One desk under one course of load."""
+    """Simulate one allocator under a sequence of loads."""
 
     def __init__(self, build, phases, returns=False):
         self.events = Events()
         self.clock = self.events.clock
-        self.desk = build(self.clock)
+        self.allocator = build(self.clock)
         self.numbers = numpy.random.default_rng(SEED)
         self.phases = phases
         self.returns = returns
-        self.asked = []
+        self.arrivals = []
         self.good = []
         self.refused_after = []
         self.waits = []
 
     def run(self):
-        """Draw the arrivals and run them all."""
+        """Generate the arrivals, run the simulation and return the run."""
         moment = 0.0
         for load, seconds in self.phases:
             end = moment + seconds
@@ -121,27 +124,27 @@
                 self.events.after(moment, self._arrive, moment, True)
             moment = end
         self.events.every(
-            EXPIRE_SECONDS, self.desk.expire, moment + 3 * DEADLINE_SECONDS
+            EXPIRE_SECONDS, self.allocator.expire, moment + 3 * DEADLINE_SECONDS
         )
         self.events.run()
         return self
 
     def good_rate(self, begin, end):
-        """Return the answers in their deadline in a second, by their end."""
+        """Return the answers per second within their deadline, ended in an interval."""
         return sum(begin <= found < end for found in self.good) / (end - begin)
 
     def _arrive(self, arrived, may_return):
-        self.asked.append(arrived)
+        self.arrivals.append(arrived)
         wanted = SlotRequest(
             shard="a.0",
             service="counts",
-            request_id=str(len(self.asked)),
+            request_id=str(len(self.arrivals)),
             wait_milliseconds=int((DEADLINE_SECONDS - USUAL_SECONDS) * 1000),
             run_milliseconds=2000,
-            caller=str(len(self.asked) % CALLERS),
+            caller=str(len(self.arrivals) % CALLERS),
         )
         try:
-            found = self.desk.request(wanted, WAITING_LIMIT)
+            found = self.allocator.request(wanted, WAITING_LIMIT)
         except PapayapickError as error:
             self._refused(arrived, error, may_return)
             return
@@ -155,7 +158,7 @@
         if error is not None:
             self._refused(arrived, error, may_return)
         else:
-            # After the desk has let go of its lock.
+            # Scheduled, because the allocator holds its lock in this callback.
             self.events.after(0.0, self._send, arrived, done.result())
 
     def _refused(self, arrived, error, may_return):
@@ -172,16 +175,16 @@
         self.events.after(seconds, self._end, arrived, grant, seconds)
 
     def _end(self, arrived, grant, seconds):
-        self.desk.release(grant.grant_id, "done", seconds)
+        self.allocator.release(grant.grant_id, "done", seconds)
         now = self.clock.monotonic()
         if now <= arrived + DEADLINE_SECONDS:
             self.good.append(now)
 
 
 def sweep_rows():
-    """Return goodput by load, as a share of the capacity."""
+    """Return the goodput of each allocator by load, as a share of the capacity."""
     rows = []
-    for name, build in DESKS.items():
+    for name, build in ALLOCATORS.items():
         for load in SWEEP:
             run = Run(build, [(load, SWEEP_SECONDS)]).run()
             rate = run.good_rate(WARM_SECONDS, SWEEP_SECONDS)
@@ -193,13 +196,13 @@
     return rows
 
 
-def flash_rows():
-    """Return goodput within and after a flash, with refused callers returning."""
+def spike_rows():
+    """Return the goodput during and after a load spike with retries."""
     rows = []
-    begin = FLASH[0][1]
-    end = begin + FLASH[1][1]
-    for name, build in DESKS.items():
-        run = Run(build, FLASH, returns=True).run()
+    begin = SPIKE[0][1]
+    end = begin + SPIKE[1][1]
+    for name, build in ALLOCATORS.items():
+        run = Run(build, SPIKE, returns=True).run()
         for part, first, last in (
             ("flash 3x", begin, end),
             ("4 s after it", end + 2.0, end + 6.0),
@@ -215,19 +218,19 @@
     return {
         "queue": name,
         "load": part,
-        "requests": len(run.asked),
+        "requests": len(run.arrivals),
         "goodput_%": 100 * rate / CAPACITY,
         "of_peak_%": 0.0,
-        "refused_%": 100 * len(refused) / len(run.asked),
+        "refused_%": 100 * len(refused) / len(run.arrivals),
         "refused_median_ms": percentile(refused, 0.5) * 1000 if refused else 0.0,
         "refused_p99_ms": percentile(refused, 0.99) * 1000 if refused else 0.0,
-        "in_vain_%": 100 * sum(found > 0 for found in refused) / len(run.asked),
+        "in_vain_%": 100 * sum(found > 0 for found in refused) / len(run.arrivals),
         "wait_p99_ms": percentile(run.waits, 0.99) * 1000,
     }
 
 
 def main():
-    print_rows(sweep_rows() + flash_rows())
+    print_rows(sweep_rows() + spike_rows())
 
 
 if __name__ == "__main__":
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,4 +1,4 @@
-"""Time the whole path: start-to-answer of each kind, at a low load.
+"""Time requests of each kind from submission to result, at a low load.
 
 Run as ``python -m benchmarks.path [--json]``.
 """
@@ -12,9 +12,10 @@
 
 REQUESTS = 200
 PATH = "/v1/requests"
-# Jobs end when their worker is asked next; one after the other would take minutes.
-SIDE_BY_SIDE = {"urgent": 1, "once": 1, "deferred": 1, "job": 8}
-LOOK_SECONDS = 0.01
+# The end of a job is seen at the next poll of its worker; running the jobs one after
+# another would take minutes.
+CONCURRENCY = {"urgent": 1, "once": 1, "deferred": 1, "job": 8}
+POLL_INTERVAL = 0.01
 
 
 def main():
@@ -41,7 +42,7 @@
             send(number, addresses[number % len(addresses)])
             return time.perf_counter() - began
 
-        with ThreadPoolExecutor(SIDE_BY_SIDE[kind]) as executor:
+        with ThreadPoolExecutor(CONCURRENCY[kind]) as executor:
             seconds = list(executor.map(timed, range(REQUESTS)))
         rows.append(
             {
@@ -76,7 +77,7 @@
 
 def _deferred(cell, number, address):
     body = {"service": _service(cell, "deferred", True), "payload": number}
-    run_durable(address, PATH, body, LOOK_SECONDS)
+    run_durable(address, PATH, body, POLL_INTERVAL)
 
 
 def _job(cell, number, address):
@@ -86,7 +87,7 @@
         "processors": 1000,
         "payload": {"run_seconds": 0.01},
     }
-    run_durable(address, PATH, body, LOOK_SECONDS)
+    run_durable(address, PATH, body, POLL_INTERVAL)
 
 
 if __name__ == "__main__":
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,8 @@
-"""Time and pack placements of tasks against simple policies.
+"""Compare the speed and packing of placement policies for tasks.
 
-Run as ``python -m benchmarks.placement [--json] [--packing]``. Each policy
-sees the same drawn demands. A decision is a choice with its reservation; the
-cell is first filled with running tasks, then one task ends before each decision.
+Run as ``python -m benchmarks.placement [--json] [--packing]``. All policies get the
+same randomly generated demands. A decision is a choice with its reservation; the cell
+is first filled with running tasks, then one task ends before each decision.
 """
 
 import random
@@ -34,9 +34,9 @@
     }
 
 
-def cell(workers, accelerated, kept_percent=50):
-    """Return a ledger of open workers, those with accelerators spread among all."""
-    ledger = HostLedger(kept_percent)
+def cell(workers, accelerated, reserved_percent=50):
+    """Return a ledger of open workers; those with accelerators are evenly spread."""
+    ledger = HostLedger(reserved_percent)
     step = workers // accelerated
     for number in range(workers):
         has = number % step == 0 and number // step < accelerated
@@ -46,7 +46,7 @@
 
 
 def demands(count, seed=SEED):
-    """Draw demands: most small, a few as large as half a worker."""
+    """Generate demands: most are small, a few are as large as half a worker."""
     generator = numpy.random.default_rng(seed)
     processors = generator.choice(
         [250, 500, 1000, 2000, 4000, 8000], count, p=[0.3, 0.25, 0.2, 0.15, 0.07, 0.03]
@@ -64,8 +64,8 @@
     ]
 
 
-def fill(ledger, policy, wanted, most):
-    """Reserve until a demand is refused or so many run; return the reservations."""
+def fill(ledger, policy, wanted, max_running):
+    """Reserve until a demand does not fit or enough run; return the reservations."""
     running = []
     for number, demand in enumerate(wanted):
         name = policy.choose(ledger, demand)
@@ -75,7 +75,7 @@
             break
         ledger.reserve(name, number, demand)
         running.append(number)
-        if len(running) >= most:
+        if len(running) >= max_running:
             break
     return running
 
@@ -113,14 +113,14 @@
     }
 
 
-def packing(size, name, policy, kept_percent):
+def packing(size, name, policy, reserved_percent):
     """Fill a cell with mixed work until the first refusal of each kind.
 
-    Work with accelerators goes on after its first refusal: smaller demands may
-    fit. ``accelerators`` are the shares in use at its first refusal.
+    Work with accelerators continues after its first refusal, as smaller demands may
+    fit. ``accelerators`` is the share in use at its first refusal.
     """
     workers, accelerated, _ = size
-    ledger = cell(workers, accelerated, kept_percent)
+    ledger = cell(workers, accelerated, reserved_percent)
     whole = sum((ledger.capacity(found) for found in ledger.names), Amounts())
     used, accelerators, number = Amounts(), None, 0
     for number, demand in enumerate(demands(workers * 60, SEED + 2)):
@@ -142,10 +142,10 @@
     }
 
 
-def kept(size, name, policy, kept_percent):
-    """Fill a cell with plain work, then with work for accelerators."""
+def fill_around_reserve(size, name, policy, reserved_percent):
+    """Fill a cell with plain work first, then with work for accelerators."""
     workers, accelerated, _ = size
-    ledger = cell(workers, accelerated, kept_percent)
+    ledger = cell(workers, accelerated, reserved_percent)
     whole = sum((ledger.capacity(found) for found in ledger.names), Amounts())
     shares = []
     for phase, wanted in enumerate((PLAIN_DEMAND, ACCELERATED_DEMAND)):
@@ -157,17 +157,16 @@
     return {
         "workers": workers,
         "policy": name,
-        "kept_percent": kept_percent,
+        "kept_percent": reserved_percent,
         "processors_to_plain": shares[0] * PLAIN_DEMAND.processors / whole.processors,
         "accelerators_usable": shares[1] / whole.accelerators,
     }
 
 
 def lopsided(workers, is_indexed):
-    """Time choices where one worker in a hundred has memory left.
+    """Time choices where only one worker has enough free memory.
 
-    The baseline goes through the open workers by free processors, as the ledger
-    once did.
+    The baseline scans the open workers in order of free processors.
     """
     ledger = HostLedger()
     for number in range(workers):
@@ -194,7 +193,7 @@
 
 
 def build(workers):
-    """Return the seconds to build an index of so many workers."""
+    """Return the seconds to build an index of this number of workers."""
     began = time.perf_counter()
     index = RoomIndex()
     for number in range(workers):
@@ -217,7 +216,12 @@
     few = [(size, *found) for size in SIZES[:2] for found in policies().items()]
     few.append((SIZES[2], "tightest", BestFit()))
     print_rows([packing(*found, 50) for found in few])
-    print_rows([kept(SIZES[1], "tightest", BestFit(), k) for k in (0, 25, 50, 100)])
+    print_rows(
+        [
+            fill_around_reserve(SIZES[1], "tightest", BestFit(), k)
+            for k in (0, 25, 50, 100)
+        ]
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -1,4 +1,4 @@
-"""Draw the time of a placement against the workers of the cell.
+"""Plot the time of a placement decision over the number of workers.
 
 Run as ``python -m benchmarks.placement --json | python -m benchmarks.plots FILE``.
 """
@@ -12,12 +12,12 @@
 
 
 def read(stream):
-    """Return the workers and times of each policy.
+    """Return the numbers of workers and the times of each policy.
 
     Parameters
     ----------
     stream : iterable of str
-        JSON lines; those of other tables are passed over.
+        JSON lines; rows of other tables are skipped.
 
     Returns
     -------
@@ -33,11 +33,11 @@
 
 
 def draw(found, path):
-    """Write an SVG with both axes in powers of ten."""
+    """Write an SVG file with logarithmic axes."""
     matplotlib.use("svg")
-    # The same drawing gives the same file.
+    # A fixed salt makes the identifiers in the file, and so the file, reproducible.
     matplotlib.rcParams["svg.hashsalt"] = "papayapick"
-    # The back end must be chosen before this import.
+    # The import of pyplot selects the back end.
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(6, 3.5))
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,8 +1,8 @@
 """Measure whole processes: idle, by heartbeat, by poll and by request.
 
-Run as ``python -m benchmarks.processes [--json]``. Three gateways and three
-placers run on this machine with the stand-ins; memory is what is resident, and
-processor time is that of each process, from the system's own count.
+Run as ``python -m benchmarks.processes [--json]``. Three gateways and three placers run
+on this machine with the stand-ins; memory is resident memory, and processor time is
+that of each process by the count of the operating system.
 """
 
 import json
@@ -21,7 +21,7 @@
 CALLS = 2000
 ROLLS = 5
 PATH = "/v1/requests"
-LOOK_SECONDS = 0.5
+POLL_INTERVAL = 0.5
 TICKS = os.sysconf("SC_CLK_TCK")
 SETTLE_SECONDS = 2
 BASE = {"PAPAYAPICK_HEARTBEAT_SECONDS": "0.5", "PAPAYAPICK_POLL_SECONDS": "1"}
@@ -38,7 +38,7 @@
     rows = []
     for name, environment in VARIANTS.items():
         with Cell("footfall", {**environment, **CALM}) as cell:
-            _pass(SETTLE_SECONDS)
+            _sleep(SETTLE_SECONDS)
             rows += _idle(cell, name)
             if environment is BASE:
                 rows += [*_loaded(cell), _call(cell), _roll(cell)]
@@ -46,9 +46,9 @@
 
 
 def _idle(cell, name):
-    before, peers = _spent(cell), _counted(cell)
-    _pass(SECONDS)
-    after, peers_after = _spent(cell), _counted(cell)
+    before, peers = _processor_seconds(cell), _peer_bytes_by_process(cell)
+    _sleep(SECONDS)
+    after, peers_after = _processor_seconds(cell), _peer_bytes_by_process(cell)
     return [
         _row(
             cell,
@@ -66,15 +66,15 @@
 
 def _loaded(cell):
     addresses = [gateway.addresses["http"] for gateway in cell.gateways]
-    for kind, (count, side_by_side, send) in LOADS.items():
-        before, bytes_before = _spent(cell), _counted(cell)
+    for kind, (count, concurrency, send) in LOADS.items():
+        before, bytes_before = _processor_seconds(cell), _peer_bytes_by_process(cell)
         writes = cell.control("counts")["writes"]
         began = time.monotonic()
-        with ThreadPoolExecutor(side_by_side) as executor:
+        with ThreadPoolExecutor(concurrency) as executor:
             list(executor.map(lambda n, s=send: s(addresses[n % 3], n), range(count)))
         seconds = time.monotonic() - began
         writes = (cell.control("counts")["writes"] - writes) / count
-        after, bytes_after = _spent(cell), _counted(cell)
+        after, bytes_after = _processor_seconds(cell), _peer_bytes_by_process(cell)
         name = f"{count} {kind}, {seconds:.1f} s, {writes:.2f} writes each"
         for process in ("gateway", "placer"):
             spent = _mean(cell, process, before, after) * PROCESSES
@@ -91,13 +91,13 @@
 
 def _deferred(address, number):
     body = {"service": "tenant-comparisons", "payload": {"week": number}}
-    run_durable(address, PATH, body, LOOK_SECONDS)
+    run_durable(address, PATH, body, POLL_INTERVAL)
 
 
 def _job(address, number):
     body = {"job": "season-model", "members": 3, "processors": 1000}
     body["payload"] = {"run_seconds": 0.01}
-    run_durable(address, PATH, body, LOOK_SECONDS)
+    run_durable(address, PATH, body, POLL_INTERVAL)
 
 
 LOADS = {
@@ -109,7 +109,7 @@
 
 
 def _roll(cell):
-    """Return the time of a whole step back, the command's own start in it."""
+    """Return the time of a step back, including the start of the command."""
     status = cell.command("bundle", "status", "--json").stdout.splitlines()[0]
     digest = json.loads(status)["digest"]
     seconds = []
@@ -128,7 +128,7 @@
 
 
 def _call(cell):
-    """Return the caller's processor time for one call of the platform."""
+    """Return the client's processor time for one call to the platform."""
     pool = HttpPool(5.0)
     table = Table(cell.url + "/table", pool)
     began = time.thread_time()
@@ -158,11 +158,11 @@
     }
 
 
-def _pass(seconds):
+def _sleep(seconds):
     threading.Event().wait(seconds)
 
 
-def _spent(cell):
+def _processor_seconds(cell):
     return {name: _seconds(one.process.pid) for name, one in cell.daemons.items()}
 
 
@@ -182,8 +182,8 @@
     return sum(after[name] - before[name] for name in names) / len(names)
 
 
-def _counted(cell):
-    """Return the bytes that each process exchanged with peers, both ways."""
+def _peer_bytes_by_process(cell):
+    """Return the bytes that each process sent to and received from its peers."""
     return {name: _peer_bytes(one) for name, one in cell.daemons.items()}
 
 
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,9 +1,9 @@
-"""Share one shard among 670 teams: fairness, and the time to get a share back.
+"""Share one shard among 670 teams: fairness, and the time to reclaim a share.
 
-Run as ``python -m benchmarks.quotas [--json]``. Every second team lodges more than
-its quota from the start and borrows the rest; the others come after an hour
-and want their whole quota. Passes come twice a second, as in the placer; a
-checkpoint takes two seconds.
+Run as ``python -m benchmarks.quotas [--json]``. Every second team submits more than its
+quota from the start and borrows the rest; the others start after an hour and demand
+their whole quota. The queue is processed twice a second, as in the placer; a checkpoint
+takes two seconds.
 """
 
 import heapq
@@ -21,16 +21,16 @@
 WORKERS = 120
 CAPACITY = Amounts(16000, 65536)
 DEMAND = Amounts(1000, 4096)
-BACK, END = 3600.0, 5400.0
+RECLAIM_AT, END = 3600.0, 5400.0
 PASS_SECONDS = 0.5
 CHECKPOINT_SECONDS = 2.0
 RUN_SECONDS = 1800.0
-# A team has got its share back once it holds this part of it.
-GOT_BACK = 0.9
+# A team has reclaimed its share once it uses this part of it.
+RECLAIMED_SHARE = 0.9
 
 
 class Teams:
-    """Keep every team's jobs coming, so that each always has some waiting."""
+    """Simulate teams that submit jobs continuously, so that each has waiting jobs."""
 
     def __init__(self, policy_name):
         self.generator = numpy.random.default_rng(SEED)
@@ -55,27 +55,27 @@
         self.events, self.number = [], 0
         self.waiting = dict.fromkeys(self.quotas, 0)
         self.held = dict.fromkeys(self.quotas, 0)
-        self.back = {}
+        self.reclaimed_after = {}
         self.spent, self.pauses = [], 0
 
     def run(self):
-        """Pass twice a second until the end; note who holds what."""
+        """Process the queue twice a second and return the fairness index by minute."""
         now, first = 0.0, [name for n, name in enumerate(self.quotas) if n % 2]
         active = set(first)
         indexes = []
         while now < END:
             now += PASS_SECONDS
-            if now >= BACK:
+            if now >= RECLAIM_AT:
                 active = set(self.quotas)
-            self._lodge(active, now)
+            self._submit_jobs(active, now)
             self._end(now)
             began = time.perf_counter()
             starts = self.queue.choose_starts(now)
             paused = self.queue.choose_pauses(now) if self.has_pauses else ()
             self.spent.append(time.perf_counter() - began)
-            self._note(now, starts, paused)
-            if now >= BACK:
-                self._note_back(first, now)
+            self._record_pass(now, starts, paused)
+            if now >= RECLAIM_AT:
+                self._record_reclaimed(first, now)
             if now % 60 == 0 and now > 1800:
                 indexes.append(fairness_index(self._shares(active)))
         return indexes
@@ -83,7 +83,7 @@
     def _shares(self, active):
         return [min(1.0, self.held[t] * 1000 / self.quotas[t]) for t in sorted(active)]
 
-    def _lodge(self, active, now):
+    def _submit_jobs(self, active, now):
         for team in sorted(active):
             wanted = 2 * self.quotas[team] // 1000
             while self.waiting[team] < min(20, wanted):
@@ -113,7 +113,7 @@
                 self.queue.add(running.job.requeued())
                 self.waiting[running.job.team] += 1
 
-    def _note(self, now, starts, paused):
+    def _record_pass(self, now, starts, paused):
         for start in starts:
             self.held[start.job.team] += 1
             self.waiting[start.job.team] -= 1
@@ -127,28 +127,28 @@
         self.number += 1
         heapq.heappush(self.events, (at, self.number, kind, running))
 
-    def _note_back(self, first, now):
+    def _record_reclaimed(self, first, now):
         for team in self.quotas:
-            wanted = GOT_BACK * self.quotas[team] / 1000
+            wanted = RECLAIMED_SHARE * self.quotas[team] / 1000
             if team not in first and self.held[team] >= wanted:
-                self.back.setdefault(team, now - BACK)
+                self.reclaimed_after.setdefault(team, now - RECLAIM_AT)
 
 
 def row(policy_name):
     teams = Teams(policy_name)
     indexes = teams.run()
     returning = (TEAMS + 1) // 2
-    back = list(teams.back.values())
-    back += [float("inf")] * (returning - len(back))
+    reclaimed_after = list(teams.reclaimed_after.values())
+    reclaimed_after += [float("inf")] * (returning - len(reclaimed_after))
     return {
         "policy": policy_name,
         "teams": TEAMS,
-        "fairness_before": indexes[(int(BACK) - 60 - 1860) // 60],
+        "fairness_before": indexes[(int(RECLAIM_AT) - 60 - 1860) // 60],
         "fairness_at_end": indexes[-1],
-        "got_back": len(teams.back),
+        "got_back": len(teams.reclaimed_after),
         "returning": returning,
-        "back_median_s": percentile(back, 0.5),
-        "back_p90_s": percentile(back, 0.9),
+        "back_median_s": percentile(reclaimed_after, 0.5),
+        "back_p90_s": percentile(reclaimed_after, 0.9),
         "pauses": teams.pauses,
         "pass_median_ms": percentile(teams.spent, 0.5) * 1000,
         "pass_p99_ms": percentile(teams.spent, 0.99) * 1000,
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,9 +1,9 @@
-"""Break a cell of processes and time how it recovers.
+"""Inject faults into a cell of processes and measure its recovery.
 
-Run as ``python -m benchmarks.recovery [--json]``. Callers send urgent requests
-to every gateway all the while. ``served_s`` is the time from the fault until
-every shard is served again; waits are those of the requests sent during the
-fault, in milliseconds; refused ones heard ``not_run``.
+Run as ``python -m benchmarks.recovery [--json]``. Callers send urgent requests to every
+gateway throughout. ``served_s`` is the time from the fault until every shard is served
+again; latencies are those of the requests answered after the fault, in milliseconds;
+``refused`` counts answers with the outcome ``not_run``.
 """
 
 import signal
@@ -16,7 +16,7 @@
 
 BEFORE = 200
 AFTER_SECONDS = 3.0
-LOOK_SECONDS = 0.02
+POLL_INTERVAL = 0.02
 
 
 def main():
@@ -36,7 +36,7 @@
         began = time.monotonic()
         is_over = fault(cell)
         while not is_over():
-            threading.Event().wait(LOOK_SECONDS)
+            threading.Event().wait(POLL_INTERVAL)
         served = time.monotonic() - began
         threading.Event().wait(AFTER_SECONDS)
         calm = load.answers[:count]
@@ -59,15 +59,15 @@
 
 
 def is_settled(cell):
-    """Return whether each shard is where it belongs.
+    """Return whether each shard is owned by the placer of its zone.
 
-    At the start the first placer that is up may own several, or all.
+    Right after the start, the first placer that is ready may own several or all shards.
     """
     return all(cell.owner_of(f"{zone}.0") == f"placer-{zone}" for zone in cell.zones)
 
 
 def owner_of_a_shard(cell):
-    """Return the owner of the first zone's shard, which may stand in another."""
+    """Return the owner of the first zone's shard, maybe a placer of another zone."""
     zone = next(iter(cell.zones))
     return cell.daemons[cell.owner_of(f"{zone}.0")]
 
@@ -91,7 +91,7 @@
 
 
 def lose_rack(cell):
-    """Let every instance and worker of one zone's rack answer nothing."""
+    """Make all instances and workers of one zone's rack unavailable."""
     zone = next(iter(cell.zones))
     names = [f"worker-{zone}-{number:02d}" for number in range(1, 9)]
     services = [found["name"] for found in cell.bundle["services"]]
@@ -99,7 +99,7 @@
         for target in (worker, *[f"{service}-{worker}" for service in services]):
             cell.control("faults", target=target, kind="down")
     began = time.monotonic()
-    # Shards stay served; the row shows the waits over the same time.
+    # Shards stay served, so the row shows the latencies over a fixed time.
     return lambda: time.monotonic() - began > AFTER_SECONDS
 
 
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -1,9 +1,9 @@
 """Requests a second and processor time of real gateways and a placer on loopback.
 
-Callers in processes of their own keep so many connections busy; only the first
-zone is driven, so that one placer serves. ``reference_ms`` is the time of a loop
-that is the same everywhere: on a busy host it grows, and all else with it. Then a
-backend server leaves under load, and the time until its last new call is printed.
+Callers in separate processes keep a number of connections busy. Only gateways of the
+first zone get requests, so that one placer serves all of them. ``reference_ms`` is the
+time of a fixed loop; on a busy host it grows like the other times. Then a backend
+server leaves under load, and the time of the last new call to it is printed.
 Run as ``python -m benchmarks.requests [--json]``.
 """
 
@@ -62,7 +62,7 @@
 
 
 def leaving_rows():
-    """Return when the last new call went to a leaving backend server."""
+    """Return the time of the last new call to a leaving backend server, by case."""
     cases = {
         "says so itself, list lags": lambda cell, name: cell.control(
             "faults", target=name, kind="leave"
@@ -100,7 +100,7 @@
     body = {"service": SERVICE, "payload": {}}
 
     def is_moved():
-        # The echo's answers have no instance in them.
+        # Answers of the echo servers do not name an instance.
         answers = [http_call(address, "POST", PATH, body)[2] for _ in range(20)]
         return not any(b"instance" in found for found in answers)
 
--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -1,7 +1,7 @@
-"""Roll bundles to real processes and time them from accept to in force.
+"""Roll out bundles to real processes and time them from accept to in force.
 
-Run as ``python -m benchmarks.rolls [--json]``. Each row is one way to spread an
-accepted bundle, with the table up, or down from right after the accept.
+Run as ``python -m benchmarks.rolls [--json]``. Each row is one way to distribute an
+accepted bundle, with the table up, or down immediately after the accept.
 """
 
 import threading
@@ -19,13 +19,13 @@
 from papayapick.wire import CellKeys
 from papayapick.wire.messages import Hello
 
-GIVEN_UP_SECONDS = 6.0
-LOOK_SECONDS = 0.005
+TIME_LIMIT_SECONDS = 6.0
+POLL_INTERVAL = 0.005
 IDENTITY = Hello(host="benchmark", region="", zone="")
 
 
 class Roller:
-    """Roll one bundle after another to a running cell."""
+    """Roll out one bundle after another to a running cell."""
 
     def __init__(self, cell):
         self.cell = cell
@@ -39,7 +39,7 @@
         self.number = 0
 
     def roll(self, is_announced, is_down):
-        """Return, by process, the seconds from the accept; None where given up."""
+        """Return the seconds from the accept by process, None after the time limit."""
         proposal = self._propose()
         head = accept(self.table, proposal)
         accepted = time.time()
@@ -75,12 +75,12 @@
     def _wait(self, sequence, accepted):
         found = dict.fromkeys(self.cell.daemons)
         while None in found.values():
-            if time.time() - accepted > GIVEN_UP_SECONDS:
+            if time.time() - accepted > TIME_LIMIT_SECONDS:
                 break
             for name, daemon in self.cell.daemons.items():
                 if found[name] is None:
                     found[name] = _in_force(daemon, sequence, accepted)
-            threading.Event().wait(LOOK_SECONDS)
+            threading.Event().wait(POLL_INTERVAL)
         return found
 
 
@@ -94,11 +94,11 @@
 
 
 def measure(roller, way, is_announced, is_down, rolls):
-    seconds, given_up = [], 0
+    seconds, timed_out = [], 0
     for _ in range(rolls):
         for found in roller.roll(is_announced, is_down).values():
             if found is None:
-                given_up += 1
+                timed_out += 1
             else:
                 seconds.append(found)
     return {
@@ -108,7 +108,7 @@
         "processes": len(roller.cell.daemons),
         "median_s": percentile(seconds, 0.5) if seconds else "none",
         "longest_s": max(seconds) if seconds else "none",
-        "not_within_6_s": given_up,
+        "not_within_6_s": timed_out,
     }
 
 
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -1,10 +1,10 @@
 """Time one round of decisions by workers and waiting steps.
 
-Run as ``python -m benchmarks.rounds [--json]``. Half of the waiting steps have
-tickets, a quarter had some that are too old. The workers that tickets name, half of
-all, are full; the others are free. ``round_ms`` is the least of five rounds,
-``tick_ms`` what is done by time ten times a second beside them, ``stops_ms`` the part
-of that which looks for tasks to stop for steps that have waited.
+Run as ``python -m benchmarks.rounds [--json]``. Half of the waiting steps have valid
+tickets, a quarter have expired ones. The workers named by tickets, half of all, are
+full; the others are free. ``round_ms`` is the shortest of five rounds, ``tick_ms`` the
+periodic work done ten times a second, ``stops_ms`` the part of it that selects tasks to
+stop for steps that have waited.
 """
 
 import time
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,9 @@
 """Count the table's reads and writes by kind of work.
 
-Run as ``python -m benchmarks.store [--json]``. The first rows drive the real
-journal and its token bucket with drawn arrivals and a manual clock: one shard's
-part of 2,000 placements a second, of which a share is journaled. Its writes
-times the nine shards are the cell's. The last rows run a cell of processes.
+Run as ``python -m benchmarks.store [--json]``. The first rows run the real journal and
+its token bucket with randomly generated arrivals and a manual clock: one shard's part
+of 2,000 placements a second, of which a share is journaled. The writes of the cell are
+those of one shard times nine. The last rows run a cell of processes.
 """
 
 import heapq
@@ -29,7 +29,7 @@
 LINGER_SECONDS = 0.01
 WRITES_PER_SECOND = 30
 STEP_SECONDS = 0.001
-# From a start that is durable to the end of the run.
+# Time from the durable start of a run to its end.
 RUN_SECONDS = 0.005
 PROCESS_SECONDS = 10
 ONCE, DEFERRED = "heatmap-refresh", "tenant-comparisons"
@@ -73,7 +73,7 @@
         self.placed = 0
 
     def row(self):
-        """Run and return what was counted."""
+        """Run the simulation and return its row."""
         generator = random.Random(SEED)
         writes, reads = self.table.writes, self.table.reads
         arrival, queued_since = generator.expovariate(self.rate), None
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -7,7 +7,7 @@
 
 
 def percentile(values, share):
-    """Return the value below which a share of the values lies.
+    """Return the value below which the given share of the values lies.
 
     Examples
     --------
@@ -19,7 +19,7 @@
 
 
 def print_rows(rows, stream=None):
-    """Print dictionaries with the same keys.
+    """Print dictionaries with the same keys as a table or as JSON lines.
 
     Parameters
     ----------
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,10 +1,11 @@
-"""Time how a new owner reads the whole state of a pool, by number of jobs.
+"""Measure how long a new owner takes to load the state of a pool, by number of jobs.
 
 Run as ``python -m benchmarks.takeover [--json]``. A stand-in serves the store over HTTP
-on loopback. Nine of ten jobs are over, as they are kept for two minutes; the others
-have two steps of six tasks, of which the first runs. ``load_s`` is from the claim to
-knowing all jobs, ``place_s`` the first round of decisions after it, ``tick_ms`` a later
-look at all jobs, ``memory_mb`` what the process grew by, ``calls`` those of the store.
+on loopback. Nine of ten jobs have ended, as ended jobs are retained for two minutes;
+the others have two steps of six tasks, of which the first is running. ``load_s`` is the
+time from the claim until all jobs are loaded, ``place_s`` that of the first round of
+decisions, ``tick_ms`` that of a later tick, ``memory_mb`` the growth of the process,
+``calls`` the number of calls to the store.
 """
 
 import resource
--- a/benchmarks/timeliness.py
+++ b/benchmarks/timeliness.py
@@ -1,9 +1,9 @@
-"""Jobs done in time under a load above capacity, by the order in which they wait.
+"""Share of jobs done in time around and above capacity, by order of the queue.
 
-Run as ``python -m benchmarks.timeliness [--json]``. A replay on 24 workers with room
-for 96 tasks: jobs of ten tasks of 0.8 s come at a share of what the pool can do, for
-ten seconds. ``in_time`` is the share of jobs done within 1.5 times their work and
-0.5 s more, ``late`` the share done within three times that.
+Run as ``python -m benchmarks.timeliness [--json]``. A simulation of 24 workers with
+room for 96 tasks: jobs of ten tasks of 0.8 s arrive for ten seconds at a share of the
+pool's capacity. ``in_time`` is the share of jobs done within 1.5 times their run time
+plus 0.5 s, ``late`` the share of other jobs done within three times that.
 """
 
 from unittest import mock
@@ -15,7 +15,7 @@
 WORKERS = 24
 TASKS = 10
 SECONDS = 0.8
-# What 96 tasks at a time of 0.8 s amount to, in jobs a second.
+# Jobs per second that 96 concurrent tasks of 0.8 s amount to.
 CAPACITY = WORKERS * 4 / SECONDS / TASKS
 SHARES = (0.8, 1.1, 1.4, 2.0)
 LOAD_SECONDS = 10.0
@@ -33,7 +33,7 @@
 
 
 def by_arrival(steps, now):
-    """Return steps in the order of their arrival, as they were served before."""
+    """Return the steps by priority and arrival, the baseline."""
     return sorted(
         steps, key=lambda step: (step.job.queue.priority, step.job.arrived_at, step.key)
     )
--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -1,10 +1,10 @@
-"""Waiting time of urgent requests under faults, by policy for the instance.
+"""Waiting time of urgent requests under faults, by policy for the choice of instances.
 
-The real routing, slot desks, health, attempt timeouts and retry budgets run
-with a manual clock; only arrivals and service times are drawn. Three zones with
-a gateway, a placer and 8 instances of 8 slots each, at 85% of their capacity, or
-at 60% where a third of it goes; a fault begins after 4 of 16 seconds, and the
-live list shows what is gone 5 seconds later. Run as
+The real routing, slot allocators, health tracking, attempt timeouts and retry budgets
+run with a manual clock; arrivals and service times are randomly generated. There are
+three zones with a gateway, a placer and 8 instances of 8 slots each, at 85% of their
+capacity, or at 60% where a fault removes a third of it. A fault begins after 4 of 16
+seconds, and the live list shows lost instances 5 seconds later. Run as
 ``python -m benchmarks.urgent [--json]``.
 """
 
@@ -69,8 +69,8 @@
 LOSSES = ("a third gone", "a zone gone")
 
 
-class Waits(Exception):
-    """Carry the future of a request that waits out of the slot client."""
+class RequestQueued(Exception):
+    """Pass the future of a waiting request through the slot client to the caller."""
 
     def __init__(self, future, client, wanted):
         super().__init__()
@@ -79,35 +79,35 @@
         self.wanted = wanted
 
 
-class DeskClient:
-    """Stand for the connection to a placer with one shard."""
+class AllocatorClient:
+    """Replace the connection to a placer with one shard."""
 
-    def __init__(self, desk, cell, zone):
-        self._desk = desk
+    def __init__(self, allocator, cell, zone):
+        self._allocator = allocator
         self._cell = cell
         self._zone = zone
 
     def call(self, wanted, traceparent):
-        """Ask the desk; raise Waits where the request has to wait."""
-        if self._cell.is_gone(self._zone):
+        """Request a slot from the allocator; raise Waits if the request is queued."""
+        if self._cell.has_failed(self._zone):
             raise PeerUnreachable(address=self._zone)
         answer = Future()
         try:
-            found = self._desk.request(wanted, WAITING_LIMIT)
+            found = self._allocator.request(wanted, WAITING_LIMIT)
         except PapayapickError as error:
             answer.set_exception(_refusal(error))
             return answer
         if isinstance(found, Future):
             if not found.done():
-                raise Waits(found, self, wanted)
+                raise RequestQueued(found, self, wanted)
             found = found.result()
         answer.set_result(found)
         return answer
 
     def tell(self, released):
-        """Hand a release to the desk."""
-        if not self._cell.is_gone(self._zone):
-            self._desk.release(
+        """Pass a release to the allocator."""
+        if not self._cell.has_failed(self._zone):
+            self._allocator.release(
                 released.grant_id, released.outcome, released.run_microseconds / 1e6
             )
 
@@ -122,7 +122,7 @@
 
 
 class Request:
-    """One caller's request over its tries."""
+    """A caller's request with the state of its attempts."""
 
     def __init__(self, number, arrived):
         self.number = number
@@ -133,7 +133,7 @@
 
 
 class Cell:
-    """Three zones under one policy and one fault."""
+    """Simulate three zones under one policy and one fault."""
 
     def __init__(self, policy, fault, seed=SEED):
         self.events = Events()
@@ -144,31 +144,31 @@
         self.fault = fault
         self.load = LOAD_BEFORE_LOSS if fault in LOSSES else LOAD
         self.faults = {}
-        self.desks = {}
+        self.allocators = {}
         self.peers = {}
         self.running = {}
         self.waits = []
         self.answered = 0
-        self.asked = 0
+        self.request_count = 0
         for zone in ZONES:
             self._add_zone(zone, POLICIES[policy])
         self.gateways = {zone: self._gateway(zone) for zone in ZONES}
         self.budgets = RetryBudgets()
         self.timeouts = AttemptTimeouts()
 
-    def is_gone(self, zone):
+    def has_failed(self, zone):
         """Return whether a zone has failed."""
         return self.faults.get(zone) == "zone"
 
     def run(self):
-        """Draw the arrivals, run them all and return the cell."""
+        """Generate the arrivals, run the simulation and return the cell."""
         rate = self.load * len(ZONES) * INSTANCES * SLOTS / MEAN_SECONDS
         events = self.events
         events.every(HEARTBEAT_SECONDS, self._beat, SECONDS)
         events.every(EXPIRE_SECONDS, self._expire, SECONDS + DEADLINE_SECONDS)
         events.every(POLL_SECONDS, self._reconcile, SECONDS)
-        events.after(FAULT_SECONDS, self._break)
-        events.after(FAULT_SECONDS + LIST_LAG_SECONDS, self._show_on_list)
+        events.after(FAULT_SECONDS, self._inject_fault)
+        events.after(FAULT_SECONDS + LIST_LAG_SECONDS, self._update_live_list)
         moment = 0.0
         for number, gap in enumerate(
             self.numbers.exponential(1 / rate, int(rate * SECONDS * 1.05))
@@ -185,15 +185,15 @@
         ledger = SlotLedger()
         draw = random.Random(self.draw.random())
         policy = build(self.clock, draw)
-        desk = SlotAllocator(f"{zone}.0", 1, ledger, policy, self.clock, draw)
+        allocator = SlotAllocator(f"{zone}.0", 1, ledger, policy, self.clock, draw)
         for number in range(INSTANCES):
             name = f"{zone}-{number}"
             ledger.add(name, "counts", name, SLOTS, 64)
             ledger.open(name)
             self.running[name] = set()
-        self.desks[zone] = desk
+        self.allocators[zone] = allocator
         entry = SimpleNamespace(name=f"placer-{zone}")
-        self.peers[zone] = Peer(entry, DeskClient(desk, self, zone), 0.0)
+        self.peers[zone] = Peer(entry, AllocatorClient(allocator, self, zone), 0.0)
 
     def _gateway(self, zone):
         settings = SimpleNamespace(
@@ -207,9 +207,9 @@
         now = self.clock.monotonic()
         self.shard_owners = {}
         for zone, peer in self.peers.items():
-            if not self.is_gone(zone):
+            if not self.has_failed(zone):
                 peer.last_heartbeat_at = now
-                loads = self.desks[zone].loads()
+                loads = self.allocators[zone].loads()
                 peer.last_heartbeat = ShardSummary(
                     shard=f"{zone}.0", epoch=1, loads=loads
                 )
@@ -217,31 +217,31 @@
                 self.shard_owners[f"{zone}.0"] = (peer, peer.last_heartbeat)
 
     def _expire(self):
-        for desk in self.desks.values():
-            desk.expire()
+        for allocator in self.allocators.values():
+            allocator.expire()
 
     def _reconcile(self):
-        for desk in self.desks.values():
-            for name in desk.in_doubt_instances():
+        for allocator in self.allocators.values():
+            for name in allocator.in_doubt_instances():
                 if self.faults.get(name) != "gone":
-                    desk.reconcile(name, self.running[name])
+                    allocator.reconcile(name, self.running[name])
 
-    def _break(self):
+    def _inject_fault(self):
         self.faults.update(FAULTS[self.fault])
 
-    def _show_on_list(self):
+    def _update_live_list(self):
         for name, fault in self.faults.items():
             if fault == "gone":
-                desk = self.desks[name.partition("-")[0]]
-                desk.with_ledger(lambda ledger, name=name: ledger.close(name))
+                allocator = self.allocators[name.partition("-")[0]]
+                allocator.with_ledger(lambda ledger, name=name: ledger.close(name))
 
     def _arrive(self, number):
-        self.asked += 1
+        self.request_count += 1
         self.budgets.of("counts").earn()
         self._try(Request(number, self.clock.monotonic()))
 
     def _try(self, request):
-        zones = [zone for zone in ZONES if not self.is_gone(zone)]
+        zones = [zone for zone in ZONES if not self.has_failed(zone)]
         gateway = self.gateways[zones[request.number % len(zones)]]
         rest = request.deadline - self.clock.monotonic()
         usual = self.timeouts.usual_seconds("counts") or 0.2 * rest
@@ -253,7 +253,7 @@
                 str(request.number % 7),
                 request.avoid,
             )
-        except Waits as found:
+        except RequestQueued as found:
             waits = found
             waits.future.add_done_callback(
                 lambda done: self._granted_late(request, gateway, waits, done)
@@ -269,7 +269,7 @@
         grant = SimpleNamespace(
             granted=done.result(), client=waits.client, service="counts"
         )
-        # After the desk has let go of its lock.
+        # Scheduled, because the allocator holds its lock in this callback.
         self.events.after(0.0, self._send, request, gateway, grant)
 
     def _send(self, request, gateway, grant):
@@ -330,11 +330,11 @@
                     "fault": fault,
                     "policy": policy,
                     "load_%": round(100 * cell.load),
-                    "requests": cell.asked,
+                    "requests": cell.request_count,
                     "wait_median_ms": percentile(cell.waits, 0.5) * 1000,
                     "wait_p99_ms": percentile(cell.waits, 0.99) * 1000,
                     "wait_p999_ms": percentile(cell.waits, 0.999) * 1000,
-                    "in_deadline_%": 100 * cell.answered / cell.asked,
+                    "in_deadline_%": 100 * cell.answered / cell.request_count,
                 }
             )
     print_rows(rows)
