--- a/benchmarks/messages.py
+++ b/benchmarks/messages.py
@@ -1,14 +1,14 @@
-"""Measure each message between processes: bytes, encoding, decoding, code.
+"""Measure each message between processes: bytes, encoding, decoding, authentication.
 
-Run as ``python -m benchmarks.messages [--json]``. Bytes are of the whole frame,
-with its length and code; times are processor time of one thread.
+Run as ``python -m benchmarks.messages [--json]``. Bytes are those of the whole frame,
+with its length and authentication code; times are processor time of one thread.
 """
 
 import time
 
 from benchmarks.tables import print_rows
 from papayapick.wire import decode, encode, messages
-from papayapick.wire.frames import _code
+from papayapick.wire.frames import _mac
 
 ROUNDS = 3000
 FRAME_BYTES = 20
@@ -123,12 +123,12 @@
         "bytes": len(data) + FRAME_BYTES,
         "encode_us": _microseconds(lambda: encode(1, payload, traceparent)),
         "decode_us": _microseconds(lambda: decode(data)),
-        "code_us": _microseconds(lambda: _code(KEY, 1, data)),
+        "code_us": _microseconds(lambda: _mac(KEY, 1, data)),
     }
 
 
 def _microseconds(step):
-    """Return the least of five means, so that a busy moment does not count."""
+    """Return the lowest of five means, to exclude other load on the machine."""
     means = []
     for _ in range(5):
         began = time.thread_time()
