--- a/papayapick/bundle/watcher.py
+++ b/papayapick/bundle/watcher.py
@@ -264,7 +264,7 @@
         except ObjectsUnavailable:
             return False
         except BundleError as error:
-            _LOG.error("bundle rejected", extra={"error": str(error)})
+            _LOG.error("bundle refused", extra={"error": str(error)})
             return False
         self._cache_envelope(envelope)
         return True
--- a/papayapick/placer/takeover.py
+++ b/papayapick/placer/takeover.py
@@ -123,7 +123,7 @@
             else:
                 self._open_instance(shard, entry)
         except StaleEpoch:
-            _LOG.warning("host was fenced by a newer owner", extra={"host": entry.name})
+            _LOG.warning("a newer owner fenced the host", extra={"host": entry.name})
         except PlatformError as error:
             # The host stays closed to work; the next refresh tries again.
             _LOG.info("host not opened", extra={"error": str(error)})
