--- a/tests/fakes/pool.py
+++ b/tests/fakes/pool.py
@@ -7,7 +7,7 @@
 from papayapick.clients.http import HttpAnswer
 
 
-def build_headers(lines):
+def message(lines):
     """Return the headers as the message object that http.client parses."""
     headers = http.client.HTTPMessage()
     for name, value in lines:
@@ -45,9 +45,7 @@
         started = []
         answer = self._platform(environ, lambda *found: started.append(found))
         status, lines = started[0]
-        response = HttpAnswer(
-            int(status.split()[0]), build_headers(lines), b"".join(answer)
-        )
+        response = HttpAnswer(int(status.split()[0]), message(lines), b"".join(answer))
         if check is not None:
             check(response)
         return response
