--- a/papayapick/entry/exceptions.py
+++ b/papayapick/entry/exceptions.py
@@ -23,7 +23,7 @@
     """Report a host name and path that belong to no queue."""
 
     code = "entry.no-queue"
-    template = "no queue is configured for {host}{path}"
+    template = "no queue serves {host}{path}"
     status = "404 Not Found"
 
 
@@ -31,7 +31,7 @@
     """Report an id under which no job was accepted."""
 
     code = "entry.no-job"
-    template = "no job with id {identifier} was accepted"
+    template = "no job {identifier}"
     status = "410 Gone"
 
 
@@ -39,7 +39,7 @@
     """Report a request body that exceeds the configured limit."""
 
     code = "entry.body-too-large"
-    template = "request body too large: {size} bytes, limit {limit}"
+    template = "the body has {size} bytes, allowed are {limit}"
     status = "413 Content Too Large"
 
 
@@ -56,7 +56,7 @@
     """Report that a job was not accepted because its queue's backlog is too long."""
 
     code = "entry.queue-full"
-    template = "queue {queue} accepts no new jobs for {retry_after} s"
+    template = "queue {queue} takes no new jobs for {retry_after} s"
     status = "429 Too Many Requests"
 
 
@@ -64,7 +64,7 @@
     """Report that the state of a job cannot be read now; nothing was changed."""
 
     code = "entry.state-unknown"
-    template = "the store cannot be read"
+    template = "the store can't be read"
     status = "503 Service Unavailable"
     retry_after = _RETRY_AFTER_SECONDS
 
--- a/papayapick/platform/requests.py
+++ b/papayapick/platform/requests.py
@@ -55,9 +55,9 @@
         payload = document["spec"]
         steps = [_step(index, phase) for index, phase in enumerate(document["phases"])]
         if not isinstance(payload, str) or not steps:
-            raise ValueError("spec must be a string, and phases must not be empty")
+            raise ValueError("a text and at least one step are needed")
         if len(payload.encode()) > _PAYLOAD_LIMIT_BYTES:
-            raise ValueError("spec is too long")
+            raise ValueError("the text is too long")
         return JobDocument(
             identifier=identifier,
             queue=queue.name,
@@ -88,9 +88,9 @@
     after = phase.get("after", [])
     count = phase["task_count"]
     if not isinstance(count, int) or count < 1:
-        raise ValueError("task_count must be a positive integer")
+        raise ValueError("a step needs a task")
     if any(not isinstance(other, int) or not 0 <= other < index for other in after):
-        raise ValueError("after must name earlier phases by their index")
+        raise ValueError("a step follows only earlier ones")
     return Step(
         tasks=count,
         demand=Amounts(
